--- a/src/batch/dispatch/forecast.rs
+++ b/src/batch/dispatch/forecast.rs
@@ -1,4 +1,4 @@
-//! When runs should end, and when a minion should have room.
+//! Forecast of when runs end and when their minions have room.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use crate::placement::end_from_now;
 use crate::resources::Resources;
 
-/// Share of a run's work, in percent, that must lie between two listings before the rest of its
-/// time is reckoned from them: the share is listed in whole percents, so this is right to a fifth.
-const ENOUGH_PROGRESS: u32 = 5;
+/// Progress, in percent of a run's work, between two listings from which on the remaining time is
+/// extrapolated. Listings have whole percents, so the result is accurate to a fifth.
+const MIN_PROGRESS_PERCENT: u32 = 5;
 
-/// Age up to which a minion's expected releases are used again while its runs stay the same: a
-/// tenth of what the shortest work of the users leaves to spare.
-const RELEASES_KEPT: Duration = Duration::from_millis(50);
+/// Age up to which cached releases of a minion are used while its runs stay the same: a tenth of
+/// the slack of the users' shortest work.
+const RELEASES_MAX_AGE: Duration = Duration::from_millis(50);
 
-/// Room that comes free on a minion, by time.
+/// Room expected to come free on a minion, in order of time.
 pub(super) type Releases = Arc<[(Timestamp, Resources)]>;
 
-/// Progress of a run as its minion lists it.
+/// Progress of a run as listed by its minion, in percent: the first and the latest change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Progress {
     from: (Timestamp, u32),
@@ -31,7 +31,7 @@
 }
 
 impl Progress {
-    /// Progress that was `percent` at `at`.
+    /// Starts from `percent` of the work done at `at`.
     pub(super) fn begun(at: Timestamp, percent: u32) -> Self {
         Self {
             from: (at, percent),
@@ -39,17 +39,17 @@
         }
     }
 
-    /// Takes a listing in.
+    /// Records the progress in a listing; a repeated or lower value changes nothing.
     pub(super) fn take(&mut self, now: Timestamp, percent: u32) {
         if percent > self.to.1 {
             self.to = (now, percent);
         }
     }
 
-    /// When all of the work should be done; `None` while too little was seen.
+    /// When all of the work should be done; `None` before there is enough progress to extrapolate.
     pub(super) fn end(&self) -> Option<Timestamp> {
         let done = self.to.1.saturating_sub(self.from.1);
-        if done < ENOUGH_PROGRESS {
+        if done < MIN_PROGRESS_PERCENT {
             return None;
         }
         let each = self.to.0.saturating_sub(self.from.0) / done;
@@ -58,7 +58,7 @@
 }
 
 impl Run {
-    /// When it should end; `None` when that cannot be told.
+    /// When the run should end, from its progress or else its declared time; `None` without either.
     pub(super) fn expected_end(&self, now: Timestamp) -> Option<Timestamp> {
         let begun = self.begun.unwrap_or(self.proposed);
         let declared = (!self.expected.is_zero()).then(|| begun + self.expected);
@@ -68,7 +68,8 @@
 }
 
 impl Dispatcher {
-    /// When the room of a run should come free; `None` when that cannot be told.
+    /// When the room of a run should come free; `None` if its end cannot be estimated, or if it has
+    /// ended and its room is free already.
     pub(super) fn release(&self, now: Timestamp, run: &Run) -> Option<Timestamp> {
         if run.state == RunState::Ending {
             return None;
@@ -80,28 +81,28 @@
         }
     }
 
-    /// What a minion's runs give back, in the order of their expected ends.
+    /// Room that a minion's runs should release, in the order of their expected ends.
     ///
-    /// Each waiting step asks for it on each minion that it may use. Reckoned anew each time, it
-    /// took the leader of 350 minions and 730 starts a second more than a core.
+    /// Cached, as each waiting step needs it for each eligible minion: computed each time, it used
+    /// more than one core on the leader of 350 minions with 730 starts a second.
     pub(super) fn releases(&self, now: Timestamp, minion: &Minion) -> Releases {
-        let mut known = self.releases.borrow_mut();
-        if let Some((at, releases)) = known.get(&minion.number)
-            && now < *at + RELEASES_KEPT
+        let mut cache = self.releases.borrow_mut();
+        if let Some((at, releases)) = cache.get(&minion.number)
+            && now < *at + RELEASES_MAX_AGE
         {
             return Arc::clone(releases);
         }
-        let releases: Releases = self.reckon_releases(now, minion).into();
-        known.insert(minion.number, (now, Arc::clone(&releases)));
+        let releases: Releases = self.compute_releases(now, minion).into();
+        cache.insert(minion.number, (now, Arc::clone(&releases)));
         releases
     }
 
-    /// Has a minion's releases reckoned anew when they are next asked for.
+    /// Invalidates the cached releases of a minion.
     pub(super) fn forget_releases(&self, minion: MinionNumber) {
         self.releases.borrow_mut().remove(&minion);
     }
 
-    fn reckon_releases(&self, now: Timestamp, minion: &Minion) -> Vec<(Timestamp, Resources)> {
+    fn compute_releases(&self, now: Timestamp, minion: &Minion) -> Vec<(Timestamp, Resources)> {
         let runs = minion.runs.iter().filter_map(|id| self.runs.get(id));
         let mut releases: Vec<_> = runs
             .filter_map(|run| Some((self.release(now, run)?, run.need)))
@@ -110,27 +111,28 @@
         releases
     }
 
-    /// When `wanted` should fit on a minion; `None` when it never will.
+    /// When `need` should fit on a minion; `None` if it does not fit even after all expected ends.
     pub(super) fn fits_from(
         &self,
         now: Timestamp,
         minion: &Minion,
-        wanted: &Resources,
+        need: &Resources,
     ) -> Option<Timestamp> {
         let mut room = minion.free();
-        if wanted.fits_in(&room) {
+        if need.fits_in(&room) {
             return Some(now);
         }
         for (at, freed) in self.releases(now, minion).iter() {
             room = room.saturating_add(freed);
-            if wanted.fits_in(&room) {
+            if need.fits_in(&room) {
                 return Some((*at).max(now));
             }
         }
         None
     }
 
-    /// Run time to reckon with for a task of a queue.
+    /// Run time to expect for a task of a queue: learnt from finished runs, unless that mechanism
+    /// is switched off.
     pub(super) fn expected_time(
         &self,
         queue: &compact_str::CompactString,
--- a/src/batch/dispatch/gangs.rs
+++ b/src/batch/dispatch/gangs.rs
@@ -1,4 +1,4 @@
-//! Gangs: all members at once, or none.
+//! Placement of gangs: all members start together, or none.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::ids::Timestamp;
 
 impl Dispatcher {
-    /// Places every member of a gang, or leaves the step as it is.
+    /// Places all members of a gang, or leaves the step unchanged.
     pub(super) fn place_gang(
         &mut self,
         now: Timestamp,
@@ -27,12 +27,12 @@
             return;
         }
         let places = self.gang_places(now, id, step, spec);
-        let wanted = step.waiting.len();
+        let size = step.waiting.len();
         let chosen = if spec.one_rack {
-            // Apart it works too, only slower; but waiting for a rack could take for ever.
-            one_rack(&places, wanted).or_else(|| any_rack(&places, wanted))
+            // A gang across racks works too, only slower; waiting for one rack could take forever.
+            one_rack(&places, size).or_else(|| any_rack(&places, size))
         } else {
-            any_rack(&places, wanted)
+            any_rack(&places, size)
         };
         let Some(chosen) = chosen else {
             return;
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Members that each minion could take, by rack.
+    /// Minions that can run members of a gang, by rack, the best score first. A minion with claims
+    /// counts for one member only.
     fn gang_places(&self, now: Timestamp, id: StepId, step: &ReadyStep, spec: &StepSpec) -> Places {
         let need = charged(spec);
         let mut places = Places::new();
@@ -59,7 +60,7 @@
                 continue;
             }
             let most = spec.max_per_minion.unwrap_or(u32::MAX);
-            let times = if self.claims.is_open(minion.number) {
+            let slots = if self.claims.is_open(minion.number) {
                 fits_times(&minion.free(), &need).min(most)
             } else {
                 1
@@ -67,7 +68,7 @@
             let rack = places.entry(minion.rack).or_default();
             rack.push(Place {
                 score: self.score(minion, step, spec, &need),
-                times,
+                slots,
                 minion: minion.number,
             });
         }
@@ -78,37 +79,38 @@
     }
 }
 
-/// Minions that can take members, best first, by rack.
+/// Minions that can run members, by rack, best first.
 type Places = BTreeMap<usize, Vec<Place>>;
 
-/// A minion that can take members of a gang.
+/// A minion that can run members of a gang.
 #[derive(Clone, Copy)]
 struct Place {
     score: Score,
-    /// How many.
-    times: u32,
+    /// Members that fit on it.
+    slots: u32,
     minion: MinionNumber,
 }
 
-fn one_rack(places: &Places, wanted: usize) -> Option<Vec<MinionNumber>> {
-    places.values().find_map(|rack| take(rack, wanted))
+fn one_rack(places: &Places, size: usize) -> Option<Vec<MinionNumber>> {
+    places.values().find_map(|rack| choose(rack, size))
 }
 
-fn any_rack(places: &Places, wanted: usize) -> Option<Vec<MinionNumber>> {
+fn any_rack(places: &Places, size: usize) -> Option<Vec<MinionNumber>> {
     let mut all: Vec<_> = places.values().flatten().copied().collect();
     all.sort_unstable_by_key(|place| place.score);
-    take(&all, wanted)
+    choose(&all, size)
 }
 
-fn take(places: &[Place], wanted: usize) -> Option<Vec<MinionNumber>> {
-    let mut chosen = Vec::with_capacity(wanted);
+/// Fills minions in the given order; `None` if they hold fewer than `size` members.
+fn choose(places: &[Place], size: usize) -> Option<Vec<MinionNumber>> {
+    let mut chosen = Vec::with_capacity(size);
     for place in places {
-        let left = wanted - chosen.len();
+        let left = size - chosen.len();
         chosen.extend(std::iter::repeat_n(
             place.minion,
-            left.min(place.times as usize),
+            left.min(place.slots as usize),
         ));
-        if chosen.len() == wanted {
+        if chosen.len() == size {
             return Some(chosen);
         }
     }
--- a/src/batch/dispatch/mechanisms.rs
+++ b/src/batch/dispatch/mechanisms.rs
@@ -1,38 +1,39 @@
-//! Mechanisms of decision that an operator can switch off by name.
+//! Scheduling mechanisms that an operator can switch off by name.
 
 use std::collections::BTreeSet;
 
-/// One mechanism.
+/// A part of the scheduling policy that can be switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// Room kept for tasks that cannot start yet.
+    /// Reserves room for tasks that cannot start yet.
     Claims,
-    /// Work that ends in time in room that is kept for others.
+    /// Starts work in reserved room if it should end before the room is needed.
     Backfill,
-    /// Less urgent runs stopped for more urgent tasks.
+    /// Stops less urgent runs for more urgent tasks.
     Preemption,
-    /// Late work behind work that can still be in time.
+    /// Orders jobs past their objective behind jobs that can still meet theirs.
     Lateness,
-    /// Minions told apart by the run times seen there.
+    /// Distinguishes fast and slow minions by the run times observed on each.
     LearntSpeeds,
-    /// Run times seen in each queue in place of rough declared ones.
+    /// Corrects declared run times by those observed in each queue.
     LearntTimes,
-    /// Objectives that allow for waves, failed runs and questions to the policy service.
+    /// Extends objectives by allowances for tasks that run in several waves, for failed runs and
+    /// for questions to the policy service.
     Allowances,
-    /// The rest of a run's time reckoned from the progress that its minion lists.
+    /// Estimates a run's remaining time from the progress that its minion lists.
     Progress,
-    /// The minion on which least of the scarce resources is left over.
+    /// Prefers the minion on which the least of the scarce resources is left over.
     TightFit,
-    /// Questions to the policy service about steps whose turn is to come.
+    /// Asks the policy service about steps before they are ready.
     AskAhead,
-    /// Jobs beyond the weight of their workspace behind all others.
+    /// Orders jobs beyond the share of their workspace behind all others.
     SurplusLast,
-    /// At a workspace's limit, less urgent runs of its own stopped for more urgent tasks.
+    /// At a workspace's limit, stops its own less urgent runs for its more urgent tasks.
     LimitPreemption,
 }
 
 impl Mechanism {
-    /// All of them, in the order of the operators' page.
+    /// All mechanisms, in the order of the operators' documentation.
     pub const ALL: [Self; 12] = [
         Self::Claims,
         Self::Backfill,
@@ -48,7 +49,7 @@
         Self::LimitPreemption,
     ];
 
-    /// Name on the command line.
+    /// Name on the command line, as taken by [`Mechanisms::without`].
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Claims => "claims",
@@ -67,14 +68,15 @@
     }
 }
 
-/// The mechanisms that are in use.
+/// The mechanisms in use; by default all of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Mechanisms {
     off: BTreeSet<Mechanism>,
 }
 
 impl Mechanisms {
-    /// All but those named in a list with commas; the error is one sentence.
+    /// All mechanisms except those in a comma-separated list of names; the error message names an
+    /// unknown one and lists all known names.
     pub fn without(names: &str) -> Result<Self, String> {
         let mut off = BTreeSet::new();
         for name in names.split(',').filter(|name| !name.is_empty()) {
@@ -84,12 +86,12 @@
         Ok(Self { off })
     }
 
-    /// Whether a mechanism is in use.
+    /// Whether a mechanism is in use, that is, not switched off.
     pub fn has(&self, mechanism: Mechanism) -> bool {
         !self.off.contains(&mechanism)
     }
 
-    /// Those that are switched off.
+    /// Mechanisms that are switched off, in the order of [`Mechanism::ALL`].
     pub fn off(&self) -> impl Iterator<Item = Mechanism> + '_ {
         self.off.iter().copied()
     }
