--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -1,4 +1,5 @@
-//! Tickets of the policy service: what is known of each step, and when to ask.
+//! Questions to the policy service about which minions may run a step, and the tickets that it
+//! answers with.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,40 +16,44 @@
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
-/// Fewest minions named in a question, where there are as many. The objective of a job allows for
-/// one call about this many a step, so asking about fewer gains nothing.
+/// Fewest minions named in a question, if that many are candidates. A job's objective allows for
+/// one call about this many minions per step, so asking about fewer gains nothing.
 pub(super) const FEWEST_ASKED: usize = 30;
-/// Most tasks that one minion is reckoned to hold; tasks that need nothing fit without end.
-const MOST_TASKS: u32 = 10_000;
-/// A ticket is not used in the last part of its validity: the start may be tried again.
+/// Upper bound of the tasks counted as fitting on one minion; a task that needs no resources
+/// would fit without limit.
+const MAX_TASKS_PER_MINION: u32 = 10_000;
+/// A ticket is not used in this last part of its validity, which leaves time to retry the start.
 const TICKET_RESERVE: Duration = Duration::from_millis(350);
-/// Pause after a question that brought nothing.
-const ASK_AGAIN: Duration = Duration::from_millis(300);
-/// Pause after a look that found nobody to ask about.
-const LOOK_AGAIN: Duration = Duration::from_millis(150);
-/// Shortest and longest pause between two looks at a step whose turn is to come. Each walks the tasks
-/// of the steps before it, which is too much for each round of a large cell.
-const LOOK_AHEAD_PAUSE: Duration = Duration::from_millis(10);
+/// Pause after a question that was not answered or whose answer named nothing new.
+const ASK_RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Pause after a search that found no minion to ask about.
+const NO_CANDIDATE_PAUSE: Duration = Duration::from_millis(150);
+/// Shortest and longest pause between two checks of a step whose predecessors still run. Each check
+/// iterates over the tasks of those predecessors, which is too much work for every round of a large
+/// cell.
+const LOOK_AHEAD_PAUSE_MIN: Duration = Duration::from_millis(10);
 const LOOK_AHEAD_PAUSE_MAX: Duration = Duration::from_millis(500);
-/// A question that is not answered after this long is taken as lost.
-const QUESTION_LOST: Duration = Duration::from_secs(4);
-/// Time for which a step may go without a question, with room for it, before it counts as passed
-/// over.
-const PASSED_OVER: Duration = Duration::from_secs(1);
+/// A question that is not answered after this long counts as lost.
+const QUESTION_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time without a question after which a step with room for its tasks counts as passed over.
+const PASSED_OVER_AFTER: Duration = Duration::from_secs(1);
 /// Pause between two searches for steps that were passed over.
-const PASSED_OVER_PAUSE: Duration = Duration::from_millis(250);
+const PASSED_OVER_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is known of the policy for one step.
+/// Answers of the policy service about one step, and the state of its questions.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Knowledge {
-    /// Minions that may run it. This never changes.
-    good: BTreeSet<MinionNumber>,
-    /// Minions that may not.
-    bad: BTreeSet<MinionNumber>,
+    /// Minions that may run the step. The policy never revokes this.
+    allowed: BTreeSet<MinionNumber>,
+    /// Minions that may not run the step.
+    forbidden: BTreeSet<MinionNumber>,
+    /// Tickets, each with the end of its validity.
     tickets: BTreeMap<MinionNumber, (CompactString, Timestamp)>,
+    /// The question that was sent and is not answered.
     asked: Option<Asked>,
     /// When the latest question was sent.
     last_asked: Option<Timestamp>,
+    /// No question is sent before this time.
     next_question: Timestamp,
 }
 
@@ -57,44 +62,45 @@
         self.tickets.get(&minion).map(|(ticket, _)| ticket.clone())
     }
 
-    /// Minions with a ticket, valid or not.
+    /// Minions with a ticket, including expired ones.
     pub(super) fn ticketed(&self) -> impl Iterator<Item = MinionNumber> + '_ {
         self.tickets.keys().copied()
     }
 
+    /// Whether there is a ticket for a minion that is still valid long enough for a start at `now`.
     pub(super) fn has_ticket(&self, minion: MinionNumber, now: Timestamp) -> bool {
         self.tickets
             .get(&minion)
             .is_some_and(|(_, until)| now + TICKET_RESERVE < *until)
     }
 
-    /// Minions known to be allowed.
-    pub(super) fn good(&self) -> impl Iterator<Item = MinionNumber> + '_ {
-        self.good.iter().copied()
+    /// Minions that the policy allows, with or without a ticket.
+    pub(super) fn allowed(&self) -> impl Iterator<Item = MinionNumber> + '_ {
+        self.allowed.iter().copied()
     }
 
-    /// Whether a minion is known to be allowed.
+    /// Whether the policy allows a minion; false also for one that was never asked about.
     pub(super) fn allows(&self, minion: MinionNumber) -> bool {
-        self.good.contains(&minion)
+        self.allowed.contains(&minion)
     }
 
-    /// Whether a minion is known not to be allowed.
+    /// Whether the policy forbids a minion; false also for one that was never asked about.
     pub(super) fn forbids(&self, minion: MinionNumber) -> bool {
-        self.bad.contains(&minion)
+        self.forbidden.contains(&minion)
     }
 
-    /// Number of minions known to be allowed.
-    pub(super) fn good_count(&self) -> usize {
-        self.good.len()
+    /// Number of minions that the policy allows.
+    pub(super) fn allowed_count(&self) -> usize {
+        self.allowed.len()
     }
 
-    /// Whether a question is on the way.
+    /// Whether a question was sent and is not answered.
     pub(super) fn is_asked(&self) -> bool {
         self.asked.is_some()
     }
 
-    /// Takes a question back if it is the one on the way.
-    fn take_asked(&mut self, question: QuestionId) -> Option<Asked> {
+    /// Removes and returns the pending question if it has this id.
+    fn take_pending(&mut self, question: QuestionId) -> Option<Asked> {
         self.asked.take_if(|asked| asked.id == question)
     }
 
@@ -104,7 +110,8 @@
 }
 
 impl Dispatcher {
-    /// Asks about a step, if a question now could help to place its tasks.
+    /// Sends a question about a step, unless one is pending, the limit is reached, or no minion is
+    /// worth asking about.
     pub(super) fn ask(
         &mut self,
         now: Timestamp,
@@ -113,29 +120,29 @@
         terms: AdviceTerms,
         turn: Turn,
     ) {
-        self.give_up_lost_questions(now);
-        let Some(share) = self.share(step, turn) else {
+        self.expire_lost_questions(now);
+        let Some(share) = self.available_share(step, turn) else {
             return;
         };
         let entry = self.knowledge.entry(id).or_default();
         if entry.is_asked() || now < entry.next_question {
             return;
         }
-        let wanted = self.whom_to_ask(now, id, step, terms);
-        if wanted.is_empty() {
+        let candidates = self.whom_to_ask(now, id, step, terms);
+        if candidates.is_empty() {
             if let Some(knowledge) = self.knowledge.get_mut(&id) {
-                knowledge.next_question = now + LOOK_AGAIN;
+                knowledge.next_question = now + NO_CANDIDATE_PAUSE;
             }
             return;
         }
-        let minions = wanted
+        let minions = candidates
             .iter()
             .filter_map(|(n, _)| self.minions.get(n).map(|m| m.report.id.clone()))
             .collect::<Vec<_>>();
         let cost = terms.base + terms.per_minion * minions.len() as u32;
         let asked = self
             .questions
-            .send(now, id, share, counted_on(step, id, &wanted));
+            .send(now, id, share, expected_use(step, id, &candidates));
         let question = asked.id;
         if let Some(knowledge) = self.knowledge.get_mut(&id) {
             knowledge.last_asked = Some(now);
@@ -148,8 +155,9 @@
         }));
     }
 
-    /// The share that a question about a step may be sent from; `None` while all are used up.
-    fn share(&self, step: &ReadyStep, turn: Turn) -> Option<Share> {
+    /// The share that a question about a step may count against; `None` while all of its shares are
+    /// used up.
+    fn available_share(&self, step: &ReadyStep, turn: Turn) -> Option<Share> {
         let ordinary = match (step.queue.priority, turn) {
             (0, Turn::Coming) => self.agents,
             (0, _) => self.agents * 2,
@@ -165,33 +173,34 @@
         shares.find(|share| self.questions.may_send(*share, self.agents, ordinary))
     }
 
-    /// Asks about steps that have gone without a question for long although there is room for them,
-    /// the longest first.
+    /// Asks about steps that had no question for long although there is room for them, longest
+    /// waiting first.
     ///
-    /// Answers an overload. Steps that come early in the order of service and find no room ask again
-    /// and again as their tickets run out, and can take all questions that may be on the way. Jobs that
-    /// are past their objective come last; nobody would ask about them, and they would never start.
+    /// Prevents starvation under overload. Steps early in the order of service that find no room
+    /// ask again whenever their tickets expire and can use up the limit of pending questions. Jobs
+    /// past their objective come last in that order: without this, no question would ever be sent
+    /// for them and they would never start.
     pub(super) fn ask_passed_over(&mut self, now: Timestamp) {
         if now < self.passed_over_at {
             return;
         }
-        self.passed_over_at = now + PASSED_OVER_PAUSE;
+        self.passed_over_at = now + PASSED_OVER_INTERVAL;
         let mut passed_over: Vec<_> = self
             .ready
             .iter()
             .filter_map(|(id, step)| Some((self.unasked_since(*id, step)?, *id)))
-            .filter(|(since, _)| now >= *since + PASSED_OVER)
+            .filter(|(since, _)| now >= *since + PASSED_OVER_AFTER)
             .collect();
         passed_over.sort_unstable();
         for (_, id) in passed_over {
             let Some(step) = self.ready.get(&id) else {
                 continue;
             };
-            if self.share(step, Turn::PassedOver).is_none() {
+            if self.available_share(step, Turn::PassedOver).is_none() {
                 return;
             }
             let spec = &step.spec.steps[usize::from(id.step)];
-            if !self.is_allowed(step, spec) || !self.room_to_ask_about(now, id, step, spec) {
+            if !self.is_allowed(step, spec) || !self.has_room_but_no_ticket(now, id, step, spec) {
                 continue;
             }
             if let Some(terms) = step.queue.advice
@@ -203,7 +212,8 @@
         }
     }
 
-    /// Since when a step with a policy has waited for a question; `None` while one is on the way.
+    /// Since when a step with a policy has waited for a question; `None` while one is pending or if
+    /// the step has no policy.
     fn unasked_since(&self, id: StepId, step: &ReadyStep) -> Option<Timestamp> {
         step.queue.advice?;
         let known = self.knowledge.get(&id);
@@ -213,25 +223,25 @@
         known.and_then(|k| k.last_asked).max(Some(step.since))
     }
 
-    /// Takes questions that were not answered in time as lost, whoever asked them.
+    /// Drops questions that were not answered in time, for all steps.
     ///
-    /// While each step gave up only its own, and only when it could ask again, questions that were
-    /// lost together used up all that may be on the way: no step with a policy was placed any more.
-    fn give_up_lost_questions(&mut self, now: Timestamp) {
-        while let Some(question) = self.questions.take_older(now, QUESTION_LOST) {
+    /// If each step dropped only its own question, and only when it could ask again, questions lost
+    /// together would use up the limit for good and no step with a policy would be placed any more.
+    fn expire_lost_questions(&mut self, now: Timestamp) {
+        while let Some(question) = self.questions.take_older(now, QUESTION_TIMEOUT) {
             let knowledge = self.knowledge.get_mut(&question.step);
-            if let Some(lost) = knowledge.and_then(|k| k.take_asked(question)) {
+            if let Some(lost) = knowledge.and_then(|k| k.take_pending(question)) {
                 self.questions.over(&lost);
             }
         }
     }
 
-    /// Whether a minion that the policy may let run a step has room, and only a ticket is missing.
+    /// Whether an eligible minion that the policy does not forbid has room and lacks only a ticket.
     ///
-    /// A ticket costs 50 ms for a check; a stopped run costs up to 0.9 s until its room is free and
-    /// the time to start it again. Without this look 183 runs were stopped within five seconds in a
-    /// cell that was three tenths full.
-    pub(super) fn room_to_ask_about(
+    /// A ticket takes 50 ms for a check; preempting a run takes up to 0.9 s until its room is free,
+    /// plus the time to start it again. Without this test, 183 runs were preempted within 5 s in a
+    /// cell that was 30% full.
+    pub(super) fn has_room_but_no_ticket(
         &self,
         now: Timestamp,
         id: StepId,
@@ -252,10 +262,10 @@
         })
     }
 
-    /// Asks about steps whose turn will have come when the answer is there.
+    /// Asks about steps that are expected to become ready by the time of the answer.
     ///
-    /// A check of two steps waited for 50 ms and long work for 0.7 s and more between its steps,
-    /// with all its tickets still to be got.
+    /// Without this, a check of two steps waited 50 ms between its steps, and long work 0.7 s and
+    /// more, since tickets were only requested once the step was ready.
     pub(super) fn ask_ahead(&mut self, now: Timestamp) {
         let mut coming = std::mem::take(&mut self.coming);
         for (id, step) in &mut coming {
@@ -269,26 +279,26 @@
             let known = self.knowledge.get(id);
             let has_ticket =
                 |k: &Knowledge| k.tickets.keys().any(|m| k.has_ticket(*m, now + takes));
-            let begins = self.begins(now, *id, step);
-            step.look_at = now + look_ahead_pause(now, begins, takes);
-            if begins.is_some_and(|at| at < now + takes) && !known.is_some_and(has_ticket) {
+            let expected_start = self.expected_start(now, *id, step);
+            step.look_at = now + look_ahead_pause(now, expected_start, takes);
+            if expected_start.is_some_and(|at| at < now + takes) && !known.is_some_and(has_ticket) {
                 self.ask(now, *id, step, terms, Turn::Coming);
             }
         }
         self.coming = coming;
     }
 
-    /// When the last task that a step waits for should end; `None` when that is not known.
-    fn begins(&self, now: Timestamp, id: StepId, step: &ReadyStep) -> Option<Timestamp> {
+    /// When the last task that a step depends on should end; `None` if no such end is known.
+    fn expected_start(&self, now: Timestamp, id: StepId, step: &ReadyStep) -> Option<Timestamp> {
         let spec = &step.spec.steps[usize::from(id.step)];
         let before = spec.after.iter().map(|step| StepId { step: *step, ..id });
         let runs = before.flat_map(|id| self.runs.range(id.tasks()));
         runs.filter_map(|(_, run)| run.expected_end(now)).max()
     }
 
-    /// Forgets what is known of a job's steps, and the questions about them that are on the way:
-    /// their answers will find nobody.
-    pub(super) fn forget_knowledge(&mut self, job: JobId) {
+    /// Removes the advice of a job's steps and stops counting their pending questions; late answers
+    /// to these are ignored.
+    pub(super) fn remove_step_advice(&mut self, job: JobId) {
         for knowledge in remove_job(&mut self.knowledge, job).into_values() {
             if let Some(asked) = knowledge.asked {
                 self.questions.over(&asked);
@@ -296,17 +306,17 @@
         }
     }
 
-    /// Notes how many processes can ask. Each asks one question at a time, so a third of them is
-    /// kept for urgent steps: a question for long work takes ten times as long as theirs.
+    /// Sets the number of agents that can send questions. Each sends one at a time, so a third of
+    /// them is reserved for urgent steps: a question for long work takes ten times as long.
     pub fn set_agents(&mut self, agents: usize) {
         self.agents = agents;
     }
 
-    /// Takes the answer to a question; `None` when none came.
+    /// Handles the answer to a question; `None` if the call failed.
     ///
-    /// An answer to a question that was given up is not taken for one to the next: minions that
-    /// only the next one names would count as forbidden for good. With askers cut off for four
-    /// seconds, a gang of 45 in a cell that was half empty was never asked about again.
+    /// A late answer to an expired question is ignored. Matched to the next question, it would mark
+    /// minions that only the next one names as forbidden for good: with agents cut off for 4 s, a
+    /// gang of 45 in a half-empty cell was never asked about again.
     pub fn advised(&mut self, now: Timestamp, question: QuestionId, advice: Option<Advice>) {
         let id = question.step;
         let step = self.ready.get(&id).or_else(|| self.coming.get(&id));
@@ -317,7 +327,7 @@
         let Some(knowledge) = self.knowledge.get_mut(&id) else {
             return;
         };
-        let Some(asked) = knowledge.take_asked(question) else {
+        let Some(asked) = knowledge.take_pending(question) else {
             return;
         };
         self.questions.over(&asked);
@@ -329,29 +339,32 @@
             took: now.saturating_sub(asked.at),
         })));
         let Some(advice) = advice else {
-            knowledge.next_question = now + ASK_AGAIN;
+            knowledge.next_question = now + ASK_RETRY_PAUSE;
             return;
         };
         let mut good = BTreeSet::new();
         for (minion, ticket) in advice.good {
             if let Some(number) = self.by_id.get(&minion) {
                 good.insert(*number);
-                knowledge.good.insert(*number);
+                knowledge.allowed.insert(*number);
                 knowledge.tickets.insert(*number, (ticket, now + validity));
             }
         }
-        let before = knowledge.bad.len();
+        let before = knowledge.forbidden.len();
         let named = asked.minions.iter().map(|(minion, _)| *minion);
-        knowledge.bad.extend(named.filter(|n| !good.contains(n)));
-        if good.is_empty() && knowledge.bad.len() == before {
-            knowledge.next_question = now + ASK_AGAIN;
+        knowledge
+            .forbidden
+            .extend(named.filter(|n| !good.contains(n)));
+        if good.is_empty() && knowledge.forbidden.len() == before {
+            knowledge.next_question = now + ASK_RETRY_PAUSE;
         }
         self.place_wanted = true;
     }
 }
 
-/// Room that a question counts on: that of the tasks that wait, spread over the places named.
-fn counted_on(
+/// Room that a question is expected to use on each minion that it names: the need of the waiting
+/// tasks, spread over all slots on the named minions.
+fn expected_use(
     step: &ReadyStep,
     id: StepId,
     named: &[(MinionNumber, u32)],
@@ -366,25 +379,29 @@
         .collect()
 }
 
-/// When to look again at a step that should begin at `begins`, about which a question takes `takes`.
-/// Half of the time that is left: its tasks may get on faster than expected.
-fn look_ahead_pause(now: Timestamp, begins: Option<Timestamp>, takes: Duration) -> Duration {
-    let left = begins.map_or(Duration::ZERO, |at| at.saturating_sub(now + takes));
-    (left / 2).clamp(LOOK_AHEAD_PAUSE, LOOK_AHEAD_PAUSE_MAX)
+/// Pause before the next check of a step that should start at `expected_start`, if a question about
+/// it takes `takes`: half of the remaining time, as its predecessors may end sooner than expected.
+fn look_ahead_pause(
+    now: Timestamp,
+    expected_start: Option<Timestamp>,
+    takes: Duration,
+) -> Duration {
+    let left = expected_start.map_or(Duration::ZERO, |at| at.saturating_sub(now + takes));
+    (left / 2).clamp(LOOK_AHEAD_PAUSE_MIN, LOOK_AHEAD_PAUSE_MAX)
 }
 
-/// Whether the tasks of a step may start.
+/// Why a question about a step is sent; selects the limit that it counts against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Turn {
-    /// They may.
+    /// The step's tasks may start now.
     Now,
-    /// The steps before are under way.
+    /// The steps that it depends on still run.
     Coming,
-    /// They may, and have waited long for a question.
+    /// The step's tasks may start now, and it had no question for long.
     PassedOver,
 }
 
-/// How many tasks of this need fit into a room, up to a number that no step reaches.
+/// How many tasks with this need fit into `room`, at most `MAX_TASKS_PER_MINION`.
 pub(super) fn fits_times(room: &Resources, need: &Resources) -> u32 {
-    need.times_in(room).min(MOST_TASKS)
+    need.times_in(room).min(MAX_TASKS_PER_MINION)
 }
--- a/src/batch/dispatch/answers.rs
+++ b/src/batch/dispatch/answers.rs
@@ -1,9 +1,10 @@
-//! Answers to starts and stops, and what is done about runs whose start is in doubt.
+//! Start and stop orders: sending them, handling their answers, and resolving runs whose start is
+//! in doubt.
 
 use std::time::Duration;
 
 use super::Dispatcher;
-use super::crashes::Proof;
+use super::crashes::GoneEvidence;
 use super::minion::UnsettledStart;
 use super::order::{Answer, MinionAnswer, MinionOrder, Order, OrderKind, StartOrder, StartRefusal};
 use super::run::{RunState, StopState};
@@ -12,17 +13,17 @@
 use crate::batch::note::Note;
 use crate::ids::Timestamp;
 
-/// How far ahead the deadline of a start lies. Short, so that a start that is carried out late is
-/// refused soon and its task can go elsewhere; long enough for two tries on a slow connection.
-const START_SPAN: Duration = Duration::from_millis(1200);
-/// Orders to start one run before it is stopped and given up. With one order in twenty lost, two
-/// repetitions leave one run in 8,000 to the slow way; the fourth is for a slow link.
-const START_TRIES: u32 = 4;
-/// Pause before a stop is ordered again.
-const STOP_PAUSE: Duration = Duration::from_millis(300);
+/// Time from sending a start to its deadline. Short, so that a late start is refused soon and its
+/// task can be placed elsewhere; long enough for two tries on a slow connection.
+const START_DEADLINE: Duration = Duration::from_millis(1200);
+/// Start orders sent for one run before it is stopped and given up. With one order in twenty lost,
+/// three tries leave one run in 8,000 unstarted; the fourth is for a slow link.
+const MAX_START_TRIES: u32 = 4;
+/// Pause before a stop order that was not confirmed is sent again.
+const STOP_RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 impl Dispatcher {
-    /// Sends the start of a run whose decision is agreed.
+    /// Sends a start order for a run whose start is committed to the log.
     pub(super) fn send_start(&mut self, now: Timestamp, id: TaskId, ledger: &Ledger) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
@@ -33,7 +34,7 @@
         ) else {
             return;
         };
-        let Some(deadline) = minion.deadline(now, START_SPAN) else {
+        let Some(deadline) = minion.deadline(now, START_DEADLINE) else {
             return;
         };
         run.state = RunState::Starting;
@@ -57,7 +58,7 @@
         self.out.push(Order::Minion(target, order));
     }
 
-    /// Takes what came of an order that was sent at `sent`.
+    /// Handles the answer to an order that was sent at `sent`, by this replica's clock.
     pub fn answered(
         &mut self,
         now: Timestamp,
@@ -77,12 +78,12 @@
             (OrderKind::Stop(task, run), MinionAnswer::Order(answer)) => {
                 self.stopped(now, number, (*task, *run), sent, answer);
             }
-            // It answers another question.
+            // The answer is not of the order's kind.
             _ => {}
         }
     }
 
-    /// Takes the answer to a start that was sent at `sent`.
+    /// Handles the answer to a start order that was sent at `sent`.
     pub fn started(
         &mut self,
         now: Timestamp,
@@ -92,9 +93,9 @@
         answer: Answer,
         ledger: &Ledger,
     ) {
-        self.take_clock(now, number, sent, &answer);
+        self.record_answer(now, number, sent, &answer);
         if answer == Answer::OtherIncarnation {
-            self.minion_gone(now, number, sent, Proof::OtherIncarnation);
+            self.minion_gone(now, number, sent, GoneEvidence::OtherIncarnation);
             return;
         }
         let Some(run) = self.runs.get_mut(&id) else {
@@ -121,9 +122,9 @@
                         run: run_number,
                         sent,
                     };
-                    minion.left_unsettled(start, now);
+                    minion.record_unsettled(start, now);
                 }
-                if tries < START_TRIES
+                if tries < MAX_START_TRIES
                     && run.stop == StopState::No
                     && !self.quotas.is_over(run.owner.as_ref())
                 {
@@ -137,7 +138,8 @@
         }
     }
 
-    /// A refusal says that this order did nothing; an earlier one of the same run may have.
+    /// Handles a refused start. The refused order did nothing, but an earlier order for the same
+    /// run may have started it, so after more than one try the run is in doubt and is stopped.
     fn start_refused(
         &mut self,
         now: Timestamp,
@@ -187,7 +189,7 @@
         });
     }
 
-    fn take_clock(
+    fn record_answer(
         &mut self,
         now: Timestamp,
         number: MinionNumber,
@@ -199,19 +201,19 @@
         };
         self.touched.insert(number);
         if let Answer::Silent(silence) = answer {
-            minion.failed_call(sent, *silence, now);
+            minion.record_failed_call(sent, *silence, now);
         }
         let (Answer::Done { clock } | Answer::Refused { clock, .. }) = answer else {
-            minion.left_unanswered(sent);
+            minion.record_unanswered(sent);
             return;
         };
         if let Some(clock) = clock {
-            minion.read_clock(*clock, sent, now);
-            minion.was_up(sent);
+            minion.record_clock(*clock, sent, now);
+            minion.record_up(sent);
         }
     }
 
-    /// Takes the answer to a stop.
+    /// Handles the answer to a stop order that was sent at `sent`.
     pub fn stopped(
         &mut self,
         now: Timestamp,
@@ -220,9 +222,9 @@
         sent: Timestamp,
         answer: Answer,
     ) {
-        self.take_clock(now, number, sent, &answer);
+        self.record_answer(now, number, sent, &answer);
         if answer == Answer::OtherIncarnation {
-            self.minion_gone(now, number, sent, Proof::OtherIncarnation);
+            self.minion_gone(now, number, sent, GoneEvidence::OtherIncarnation);
             return;
         }
         let Some(run) = self.runs.get_mut(&id) else {
@@ -233,14 +235,14 @@
         }
         run.stop = match answer {
             Answer::Done { .. } => StopState::Confirmed(now),
-            _ => StopState::Due(now + STOP_PAUSE),
+            _ => StopState::Due(now + STOP_RETRY_PAUSE),
         };
     }
 
-    /// Sends the stops that are due.
+    /// Sends the stop orders that are due. Runs whose minion is no longer tracked end at once.
     pub(super) fn send_stops(&mut self, now: Timestamp) {
         let token = self.term;
-        let mut never = Vec::new();
+        let mut without_minion = Vec::new();
         for id in &self.leaving {
             let Some(run) = self.runs.get_mut(id) else {
                 continue;
@@ -249,12 +251,12 @@
                 continue;
             };
             match run.state {
-                // Nothing was sent and nothing will be, or it is over.
+                // No start was sent and none will be, or the run has ended.
                 RunState::Proposed | RunState::Ending => continue,
                 _ => {}
             }
             let Some(minion) = self.minions.get(&run.minion) else {
-                never.push(*id);
+                without_minion.push(*id);
                 continue;
             };
             if now < at {
@@ -268,12 +270,12 @@
             };
             self.out.push(Order::Minion(minion.target(), stop));
         }
-        for id in never {
+        for id in without_minion {
             self.run_over(now, id, EndKind::Lapsed, Default::default());
         }
     }
 
-    /// Wants a run stopped.
+    /// Marks a run to be stopped; the order is sent by `send_stops`.
     pub(super) fn stop_run(&mut self, now: Timestamp, id: TaskId) {
         if let Some(run) = self.runs.get_mut(&id)
             && run.stop == StopState::No
--- a/src/batch/dispatch/applied.rs
+++ b/src/batch/dispatch/applied.rs
@@ -1,4 +1,4 @@
-//! What the leader does once a command is agreed.
+//! Updates of the leader's volatile state after a command was committed to the log.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,8 @@
 use crate::ids::Timestamp;
 
 impl Dispatcher {
-    /// Follows an agreed command. `fresh` says whether it changed anything in the ledger.
+    /// Applies a committed command. `fresh` is whether it changed the ledger; it is false for a
+    /// repeated command.
     pub fn applied(&mut self, now: Timestamp, ledger: &Ledger, command: &Command, fresh: bool) {
         match command {
             Command::PutConfig {
@@ -72,14 +73,14 @@
         for job in ended {
             self.job_ended(now, ledger, job);
         }
-        let held_back = self.held_back(&batch.starts, ledger);
+        let blocked_starts = self.blocked_starts(&batch.starts, ledger);
         for start in &batch.starts {
-            let may_leave = !held_back.contains(&start.task);
-            self.start_agreed(now, ledger, start, may_leave);
+            let may_send = !blocked_starts.contains(&start.task);
+            self.start_committed(now, ledger, start, may_send);
         }
     }
 
-    fn start_agreed(&mut self, now: Timestamp, ledger: &Ledger, start: &Start, may_leave: bool) {
+    fn start_committed(&mut self, now: Timestamp, ledger: &Ledger, start: &Start, may_send: bool) {
         let id = start.task;
         if self.proposed(start).is_none() {
             return;
@@ -93,24 +94,24 @@
             self.remove_run(id);
             return;
         }
-        if !may_leave {
+        if !may_send {
             self.run_over(now, id, EndKind::NeverStarted, Default::default());
             return;
         }
         self.send_start(now, id, ledger);
-        // With the last task of its step the next one is in sight.
+        // Once the last task of a step has started, the next step is the one to prepare for.
         if job.is_some_and(|job| job.spec.steps.len() > 1) && !self.ready.contains_key(&id.step) {
             self.dirty_jobs.insert(id.step.job);
         }
     }
 
-    /// Tasks whose starts are not sent although they are agreed: the log may take seconds, and the
-    /// minion has shrunk, leaves or is gone meanwhile, or a limit was lowered. A gang would wait in
-    /// vain for a member.
-    fn held_back(&self, starts: &[Start], ledger: &Ledger) -> BTreeSet<TaskId> {
+    /// Tasks whose starts are committed but must not be sent. The log may take seconds, in which a
+    /// minion can shrink, drain or be lost, or a limit be lowered. If this hits one member of a
+    /// gang, all its members are blocked, as the others would wait for that member in vain.
+    fn blocked_starts(&self, starts: &[Start], ledger: &Ledger) -> BTreeSet<TaskId> {
         let is_refused = |start: &&Start| {
             let run = self.proposed(start);
-            run.is_none_or(|run| !self.still_takes(run))
+            run.is_none_or(|run| !self.can_still_start(run))
         };
         let refused = starts.iter().filter(is_refused).map(|start| start.task);
         let refused: BTreeSet<_> = refused.collect();
@@ -122,20 +123,20 @@
             .collect()
     }
 
-    /// The run of a start that waited to be agreed.
+    /// The tracked run of a start that is still waiting for its commit.
     fn proposed(&self, start: &Start) -> Option<&Run> {
         let run = self.runs.get(&start.task)?;
         (run.run == start.run && run.state == RunState::Proposed).then_some(run)
     }
 
-    /// Whether a run that was decided on earlier can still be given to its minion.
-    fn still_takes(&self, run: &Run) -> bool {
+    /// Whether a run placed earlier still fits its minion and its workspace's limit.
+    fn can_still_start(&self, run: &Run) -> bool {
         let minion = self.minions.get(&run.minion);
         let fits = minion.is_some_and(|m| m.stays() && m.used.fits_in(&m.report.capacity));
         fits && !self.quotas.is_over(run.owner.as_ref())
     }
 
-    /// A job has ended: nothing of it starts any more, and what runs is stopped.
+    /// Handles the end of a job: removes its waiting state and stops its runs.
     fn job_ended(&mut self, now: Timestamp, ledger: &Ledger, id: JobId) {
         self.dirty_jobs.insert(id);
         let Some(job) = ledger.jobs.get(&id) else {
@@ -151,7 +152,7 @@
             state,
             age: ledger.clock.saturating_sub(job.accepted),
         });
-        self.forget_knowledge(id);
+        self.remove_step_advice(id);
         self.shares.forget(id);
         remove_job(&mut self.observed, id);
         let steps = StepId::all_of(id);
--- a/src/batch/dispatch/census.rs
+++ b/src/batch/dispatch/census.rs
@@ -1,4 +1,4 @@
-//! What the leader tells of the cell as a whole, and of the steps that wait longest.
+//! Periodic log lines and metrics on the cell as a whole, its workspaces, and steps that wait long.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,30 +9,32 @@
 use crate::ids::{Timestamp, WorkspaceName};
 use crate::resources::Resources;
 
-/// Time between two tellings; an operator's graph needs no finer steps.
-const EVERY: Duration = Duration::from_secs(1);
-/// Wait after which a step is told of: most start within a second.
-const LONG: Duration = Duration::from_secs(3);
-/// Steps told of at once, the first in the order of service; a long queue is no longer log.
-const TOLD: usize = 4;
-/// Workspaces told of at once.
-const WORKSPACES_TOLD: usize = 64;
+/// Time between two reports; an operator's graph needs no finer resolution.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Wait after which a step is reported: most start within a second.
+const LONG_WAIT: Duration = Duration::from_secs(3);
+/// Most waiting steps per report, the first in the order of service, so that a long queue does not
+/// lengthen the log.
+const MAX_STEPS_REPORTED: usize = 4;
+/// Most workspaces per report, those nearest to their limits.
+const MAX_WORKSPACES_REPORTED: usize = 64;
 
-/// Tasks of one workspace that wait.
+/// Counts of one workspace's waiting tasks.
 #[derive(Clone, Copy, Default)]
 struct WaitingTasks {
     all: usize,
-    /// Those whose steps wait for the workspace's limit.
+    /// Tasks that the workspace's limit keeps from starting.
     limited: usize,
 }
 
 impl Dispatcher {
-    /// Tells how full the cell is and which steps wait, once a second.
+    /// Reports how full the cell is, each limited workspace's use, and steps that wait long, once a
+    /// second. `unix` is the time of day.
     pub(super) fn take_census(&mut self, now: Timestamp, unix: Timestamp) {
         if now < self.census_at {
             return;
         }
-        self.census_at = now + EVERY;
+        self.census_at = now + REPORT_INTERVAL;
         let taking = || self.minions.values().filter(|m| m.takes_work(now));
         let sum = |sum: Resources, part: &Resources| sum.saturating_add(part);
         let cell = Note::Cell {
@@ -54,14 +56,14 @@
         let long = order.iter().filter_map(|id| {
             let step = self.ready.get(id)?;
             let age = unix.saturating_sub(step.accepted);
-            (age > LONG).then(|| self.waits(now, *id, step, age))
+            (age > LONG_WAIT).then(|| self.step_wait(now, *id, step, age))
         });
-        for note in long.take(TOLD).collect::<Vec<_>>() {
+        for note in long.take(MAX_STEPS_REPORTED).collect::<Vec<_>>() {
             self.note(note);
         }
     }
 
-    fn waits(&self, now: Timestamp, id: StepId, step: &ReadyStep, age: Duration) -> Note {
+    fn step_wait(&self, now: Timestamp, id: StepId, step: &ReadyStep, age: Duration) -> Note {
         let spec = &step.spec.steps[usize::from(id.step)];
         let need = charged(spec);
         let knowledge = self.knowledge.get(&id);
@@ -72,7 +74,7 @@
             step: id,
             waiting: step.waiting.len(),
             age,
-            good: knowledge.map_or(0, |k| k.good_count()),
+            good: knowledge.map_or(0, |k| k.allowed_count()),
             tickets: suitable.len(),
             room: with_room.count(),
             asked: knowledge.is_some_and(|k| k.is_asked()),
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Workspaces with a limit, those that are nearest to it first.
+    /// Use of the workspaces that have a limit, those nearest to it first.
     fn workspace_uses(&self) -> Vec<Note> {
         let mut waiting: BTreeMap<&WorkspaceName, WaitingTasks> = BTreeMap::new();
         for (id, step) in &self.ready {
@@ -96,7 +98,7 @@
         let mut uses: Vec<_> = self.quotas.uses().collect();
         let parts = |(_, used, limit): &(_, Resources, Resources)| used.dominant_share(limit);
         uses.sort_by(|a, b| parts(b).total_cmp(&parts(a)));
-        uses.truncate(WORKSPACES_TOLD);
+        uses.truncate(MAX_WORKSPACES_REPORTED);
         let uses = uses.into_iter().map(|(name, used, limit)| {
             let waiting = waiting.get(name).copied().unwrap_or_default();
             Note::WorkspaceUse {
--- a/src/batch/dispatch/claims.rs
+++ b/src/batch/dispatch/claims.rs
@@ -1,9 +1,9 @@
-//! Room kept for tasks that cannot start yet, and what is stopped to make it.
+//! Claims: room reserved for tasks that cannot start yet, and preemption to free it.
 //!
-//! Large tasks and gangs need room that several runs must give back. Without a claim on it, small
-//! tasks that come later take each part as it comes free, and the large one waits for as long as
-//! there are small ones. Claims are reckoned anew in each round, in the order of service, from
-//! what is known by then; nothing has to be given back, so none can leak.
+//! Large tasks and gangs need the room of several runs at once. Without a claim, smaller tasks
+//! later in the order of service take each part as it comes free, and the large one waits for as
+//! long as there are small ones. All claims are recomputed in each round, in the order of service,
+//! from the current state; none has to be released later, so none can leak.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,29 +18,30 @@
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
-/// Most tasks with a claim in one round. Each looks at the runs of all minions that may take it;
-/// behind this many, a task's turn comes later than estimates of run times reach.
+/// Most tasks with a claim in one round. Each claim inspects the runs of all eligible minions, and
+/// a task behind this many others starts later than run time estimates are useful for.
 const MAX_CLAIMS: usize = 64;
 
-/// Claims from which on rounds are spaced: each costs a look at the minions that may take its task.
-const MANY: usize = 16;
+/// Number of claims from which on placement rounds are spaced out, as each claim inspects all
+/// eligible minions.
+const MANY_CLAIMS: usize = 16;
 
-/// How long lasting tasks may wait before room is kept for them to the exclusion of all other work.
-const LASTING_GRACE: Duration = Duration::from_secs(1);
-/// How long they may wait for room to come free by itself before others are stopped for it.
-const LASTING_PATIENCE: Duration = Duration::from_millis(2_500);
-/// How long room of one minion is kept for a lasting task that does not get it. Something there takes
-/// longer than expected, and may stand still.
-const PLACE_KEPT: Duration = Duration::from_secs(3);
+/// Wait after which claims of lasting tasks become strict: no other work may use the reserved room.
+const LASTING_STRICT_AFTER: Duration = Duration::from_secs(1);
+/// Wait after which lasting tasks preempt other runs instead of waiting for these to end.
+const LASTING_PREEMPT_AFTER: Duration = Duration::from_millis(2_500);
+/// How long a lasting task prefers the same minion without getting its room. A run there takes
+/// longer than expected and may hang.
+const STRICT_CLAIM_MAX: Duration = Duration::from_secs(3);
 
-/// Room of one minion that is kept from all that come later in the order of service.
+/// Room of one minion that is reserved against all steps later in the order of service.
 #[derive(Clone, Copy, Debug)]
 struct Claim {
     step: StepId,
     need: Resources,
-    /// Nothing may use the room meanwhile.
+    /// No other work may use the room, even if it should end in time.
     strict: bool,
-    /// When its task should start.
+    /// When the task of this claim should start.
     starts: Timestamp,
 }
 
@@ -49,33 +50,34 @@
 pub(super) struct Claims {
     by_minion: BTreeMap<MinionNumber, Vec<Claim>>,
     count: usize,
-    /// Places that were kept strictly in the round before, and since when each is.
-    kept: BTreeMap<(StepId, MinionNumber), Timestamp>,
+    /// Strict claims of the previous round, with the time since which each has been held.
+    strict_since: BTreeMap<(StepId, MinionNumber), Timestamp>,
 }
 
 impl Claims {
-    /// No claims yet. Which places were kept strictly is remembered.
+    /// An empty set of claims for the next round that keeps the record of strict claims.
     pub(super) fn next_round(&self, now: Timestamp) -> Self {
         let claims = self.by_minion.iter();
         let each = claims.flat_map(|(minion, claims)| claims.iter().map(|c| (c, *minion)));
         let strict = each.filter(|(claim, _)| claim.strict);
-        let kept = strict.map(|(claim, minion)| {
+        let strict_since = strict.map(|(claim, minion)| {
             let place = (claim.step, minion);
-            (place, self.kept.get(&place).copied().unwrap_or(now))
+            (place, self.strict_since.get(&place).copied().unwrap_or(now))
         });
         Self {
-            kept: kept.collect(),
+            strict_since: strict_since.collect(),
             ..Self::default()
         }
     }
 
-    /// Whether a place was claimed in the round before, and not for too long.
-    fn is_kept(&self, now: Timestamp, step: StepId, minion: MinionNumber) -> bool {
-        let since = self.kept.get(&(step, minion));
-        since.is_some_and(|since| now < *since + PLACE_KEPT)
+    /// Whether a step held a strict claim on a minion in the previous round, for less than
+    /// `STRICT_CLAIM_MAX`.
+    fn was_claimed(&self, now: Timestamp, step: StepId, minion: MinionNumber) -> bool {
+        let since = self.strict_since.get(&(step, minion));
+        since.is_some_and(|since| now < *since + STRICT_CLAIM_MAX)
     }
 
-    fn add(&mut self, waiting: Waiting, place: &Place) {
+    fn add(&mut self, waiting: WaitingStep, place: &Place) {
         let claim = Claim {
             step: waiting.id,
             need: waiting.need,
@@ -86,7 +88,7 @@
         self.count += 1;
     }
 
-    fn take_back(&mut self, places: &[Place]) {
+    fn remove(&mut self, places: &[Place]) {
         for place in places.iter().rev() {
             let claims = self.by_minion.get_mut(&place.minion);
             if claims.is_some_and(|claims| claims.pop().is_some()) {
@@ -99,32 +101,32 @@
         self.by_minion.get(&minion).map_or(&[], Vec::as_slice)
     }
 
-    /// All that is kept on a minion.
+    /// Sum of all claims on a minion.
     fn total(&self, minion: MinionNumber) -> Resources {
         let needs = self.on(minion).iter().map(|claim| &claim.need);
         needs.fold(Resources::ZERO, |sum, need| sum.saturating_add(need))
     }
 
-    /// Tasks of one step that room of a minion is kept for.
+    /// Number of a step's claims on a minion.
     pub(super) fn of_step_on(&self, minion: MinionNumber, step: StepId) -> u32 {
         let claims = self.on(minion).iter();
         claims.filter(|claim| claim.step == step).count() as u32
     }
 
-    /// Whether so many tasks wait that rounds should be spaced.
+    /// Whether there are so many claims that placement rounds should be spaced out.
     pub(super) fn are_many(&self) -> bool {
-        self.count >= MANY
+        self.count >= MANY_CLAIMS
     }
 
-    /// Whether nothing is kept on a minion.
+    /// Whether a minion has no claims.
     pub(super) fn is_open(&self, minion: MinionNumber) -> bool {
         self.on(minion).is_empty()
     }
 }
 
-/// A step whose tasks wait, as it is looked at in one round.
+/// A step with waiting tasks, with the times and values of the current round.
 #[derive(Clone, Copy)]
-struct Waiting<'a> {
+struct WaitingStep<'a> {
     now: Timestamp,
     unix: Timestamp,
     id: StepId,
@@ -133,65 +135,67 @@
     need: Resources,
 }
 
-impl Waiting<'_> {
-    /// Whether the job could still be done in time if these places are all it waits for. A lasting
-    /// task has no time to be done by: it is in time where it need not be waited for much longer.
+impl WaitingStep<'_> {
+    /// Whether the job can meet its objective if its tasks start at these places. A lasting task
+    /// has no objective: it is in time if it starts within `LASTING_PREEMPT_AFTER`.
     fn is_in_time(&self, places: &[Place]) -> bool {
-        let Some(starts) = last_start(places) else {
+        let Some(starts) = latest_start(places) else {
             return false;
         };
         if self.step.is_lasting() {
-            return starts <= self.now || starts <= self.step.since + LASTING_PATIENCE;
+            return starts <= self.now || starts <= self.step.since + LASTING_PREEMPT_AFTER;
         }
         let wait = starts.saturating_sub(self.now);
         !self.step.is_late(self.unix + wait)
     }
 
-    /// Whether places for which runs are stopped are worth it against those that come free by
-    /// themselves.
-    fn gains_by(&self, stopping: &[Place], waited: &[Place]) -> bool {
+    /// Whether places freed by preemption are worth it compared with those that come free at
+    /// expected ends.
+    fn is_preemption_better(&self, by_preemption: &[Place], expected: &[Place]) -> bool {
         if !self.step.is_lasting() {
-            return self.is_in_time(stopping);
+            return self.is_in_time(by_preemption);
         }
-        // Also keeps the stops from being repeated: what is leaving counts as coming free.
-        last_start(waited).is_none_or(|at| last_start(stopping).is_some_and(|sooner| sooner < at))
+        // Also prevents repeated preemption: room of runs being stopped counts as coming free.
+        latest_start(expected)
+            .is_none_or(|at| latest_start(by_preemption).is_some_and(|sooner| sooner < at))
     }
 
-    /// Whether lasting tasks have waited so long that no other work may delay them further.
+    /// Whether lasting tasks have waited so long that their claims are strict.
     fn is_strict(&self) -> bool {
-        self.step.is_lasting() && self.now > self.step.since + LASTING_GRACE
+        self.step.is_lasting() && self.now > self.step.since + LASTING_STRICT_AFTER
     }
 
-    /// Whether lasting tasks have waited so long that nothing else is tried first.
+    /// Whether lasting tasks have waited so long that runs are preempted even if a question to the
+    /// policy service could find room.
     fn is_overdue(&self) -> bool {
-        self.step.is_lasting() && self.now > self.step.since + LASTING_PATIENCE
+        self.step.is_lasting() && self.now > self.step.since + LASTING_PREEMPT_AFTER
     }
 }
 
-/// When the last of these places is there.
-fn last_start(places: &[Place]) -> Option<Timestamp> {
+/// When the last of these places should be free.
+fn latest_start(places: &[Place]) -> Option<Timestamp> {
     places.iter().map(|place| place.starts).max()
 }
 
-/// A place for one task: where, from when, and whose runs have to be stopped for it.
+/// Room for one task on a minion: from when it should be free, and the runs to preempt for it.
 #[derive(Debug)]
 struct Place {
     minion: MinionNumber,
     starts: Timestamp,
     victims: Vec<TaskId>,
-    /// Part of a minion that the stopped runs take.
+    /// Share of the minion's capacity that the preempted runs take, summed over the runs.
     cost: f64,
 }
 
-/// How a place may come free.
+/// How the room of a place comes free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Means {
-    Waiting,
-    Stopping,
+enum PlaceSource {
+    ExpectedEnds,
+    Preemption,
 }
 
 impl Dispatcher {
-    /// Whether one more task may take room of a minion without delaying those that it is kept for.
+    /// Whether one more task may start on a minion without delaying the tasks with claims there.
     pub(super) fn leaves_claims(
         &self,
         now: Timestamp,
@@ -204,12 +208,12 @@
         let Some(last) = claims.iter().map(|claim| claim.starts).max() else {
             return true;
         };
-        let kept = self.claims.total(minion.number);
-        if kept.saturating_add(need).fits_in(&minion.free()) {
+        let reserved = self.claims.total(minion.number);
+        if reserved.saturating_add(need).fits_in(&minion.free()) {
             return true;
         }
-        // Expected ends are rough. Work that should end in time but does not would put a lasting task
-        // off again and again, for as long as there is more of it.
+        // Expected ends are rough. Work that should end in time but does not would delay a lasting
+        // task again and again, for as long as there is more of it.
         if claims.iter().any(|claim| claim.strict) {
             return false;
         }
@@ -224,15 +228,14 @@
         let releases = self.releases(now, minion);
         let by_then = releases.iter().take_while(|(at, _)| *at <= last);
         let room = by_then.fold(minion.free(), |room, (_, need)| room.saturating_add(need));
-        kept.saturating_add(need).fits_in(&room)
+        reserved.saturating_add(need).fits_in(&room)
     }
 
-    /// Keeps room for the waiting tasks of a step, and stops less urgent runs for it where that
-    /// alone lets the job be done in time.
+    /// Claims room for the waiting tasks of a step, and preempts less urgent runs if the job can
+    /// meet its objective only that way.
     ///
-    /// Runs were once stopped as soon as an urgent task had a ticket and no room, and the room was
-    /// not kept: one task had 225 runs stopped in four seconds, as each was placed again before
-    /// the room was whole.
+    /// Preempting without a claim does not work: one urgent task with a ticket and no room had 225
+    /// runs stopped in 4 s, as each was placed again before enough room was free.
     pub(super) fn claim_room(
         &mut self,
         now: Timestamp,
@@ -244,7 +247,7 @@
         if spec.fills || step.is_worthless(unix) || !self.cfg.mechanisms.has(Mechanism::Claims) {
             return;
         }
-        let waiting = Waiting {
+        let waiting = WaitingStep {
             now,
             unix,
             id,
@@ -261,38 +264,40 @@
         };
         for _ in 0..units {
             let full = self.claims.count + size > MAX_CLAIMS;
-            if full || !self.claim_together(waiting, size) {
+            if full || !self.claim_unit(waiting, size) {
                 return;
             }
         }
     }
 
-    /// Keeps room for tasks that start together; false when there will be none.
-    fn claim_together(&mut self, waiting: Waiting, size: usize) -> bool {
-        let waited = self.places(waiting, size, Means::Waiting);
-        if waited.as_deref().is_some_and(|p| waiting.is_in_time(p)) || !self.may_stop_for(waiting) {
-            return waited.is_some();
+    /// Claims room for `size` tasks that start together; false if no room for them is expected.
+    fn claim_unit(&mut self, waiting: WaitingStep, size: usize) -> bool {
+        let expected = self.places(waiting, size, PlaceSource::ExpectedEnds);
+        if expected.as_deref().is_some_and(|p| waiting.is_in_time(p))
+            || !self.may_preempt_for(waiting)
+        {
+            return expected.is_some();
         }
-        let waited = waited.unwrap_or_default();
-        self.claims.take_back(&waited);
-        if let Some(places) = self.places(waiting, size, Means::Stopping) {
-            if waiting.gains_by(&places, &waited) {
-                self.stop_victims(waiting, places);
+        let expected = expected.unwrap_or_default();
+        self.claims.remove(&expected);
+        if let Some(places) = self.places(waiting, size, PlaceSource::Preemption) {
+            if waiting.is_preemption_better(&places, &expected) {
+                self.preempt(waiting, places);
                 return true;
             }
-            self.claims.take_back(&places);
+            self.claims.remove(&places);
         }
-        // Room is kept all the same: late work goes on when its turn comes.
-        for place in &waited {
+        // The room is claimed even so: work that is late still starts in its order.
+        for place in &expected {
             self.claims.add(waiting, place);
         }
-        !waited.is_empty()
+        !expected.is_empty()
     }
 
-    /// A job that is late already, or beyond what its workspace may count on, earns no more than the
-    /// work that would yield.
-    fn may_stop_for(&self, waiting: Waiting) -> bool {
-        let Waiting {
+    /// Whether runs may be preempted for a step. Not for a job that is late already or beyond the
+    /// share of its workspace: it is worth no more than the work it would replace.
+    fn may_preempt_for(&self, waiting: WaitingStep) -> bool {
+        let WaitingStep {
             now,
             unix,
             id,
@@ -304,10 +309,10 @@
             && self.least_urgent > step.queue.priority
             && !step.is_late(unix)
             && !step.is_surplus()
-            && (waiting.is_overdue() || !self.room_to_ask_about(now, id, step, spec))
+            && (waiting.is_overdue() || !self.has_room_but_no_ticket(now, id, step, spec))
     }
 
-    fn stop_victims(&mut self, waiting: Waiting, places: Vec<Place>) {
+    fn preempt(&mut self, waiting: WaitingStep, places: Vec<Place>) {
         for task in places.into_iter().flat_map(|place| place.victims) {
             let run = self.runs.get(&task).map_or(0, |r| r.run);
             let by = waiting.id;
@@ -316,12 +321,17 @@
         }
     }
 
-    /// Claims a place for each of `size` tasks, or for none of them.
-    fn places(&mut self, waiting: Waiting, size: usize, means: Means) -> Option<Vec<Place>> {
+    /// Finds and claims a place for each of `size` tasks, or for none of them.
+    fn places(
+        &mut self,
+        waiting: WaitingStep,
+        size: usize,
+        source: PlaceSource,
+    ) -> Option<Vec<Place>> {
         let mut places: Vec<Place> = Vec::with_capacity(size);
         for _ in 0..size {
-            let Some(place) = self.best_place(waiting, &places, means) else {
-                self.claims.take_back(&places);
+            let Some(place) = self.best_place(waiting, &places, source) else {
+                self.claims.remove(&places);
                 return None;
             };
             self.claims.add(waiting, &place);
@@ -330,28 +340,33 @@
         Some(places)
     }
 
-    /// The place that costs least, then the earliest. A lasting task keeps the place of the round
-    /// before unless another one has room: expected ends are rough, and a place that moves with them
-    /// is given away each time before it is free.
-    fn best_place(&self, waiting: Waiting, taken: &[Place], means: Means) -> Option<Place> {
-        let Waiting { now, id, .. } = waiting;
-        let moves = |place: &Place| {
-            let stays = place.starts <= now || self.claims.is_kept(now, id, place.minion);
+    /// The place with the least preemption cost, then the earliest. A lasting task stays on the
+    /// minion of the previous round unless another one has room now: expected ends are rough, and a
+    /// claim that moves with them is lost each time before its room is free.
+    fn best_place(
+        &self,
+        waiting: WaitingStep,
+        taken: &[Place],
+        source: PlaceSource,
+    ) -> Option<Place> {
+        let WaitingStep { now, id, .. } = waiting;
+        let is_new_place = |place: &Place| {
+            let stays = place.starts <= now || self.claims.was_claimed(now, id, place.minion);
             waiting.is_strict() && !stays
         };
         let mut best: Option<Place> = None;
-        for minion in self.listed_minions(waiting.id, waiting.step, Knowledge::good) {
-            if !self.may_ever_run(minion, waiting) {
+        for minion in self.listed_minions(waiting.id, waiting.step, Knowledge::allowed) {
+            if !self.could_run(minion, waiting) {
                 continue;
             }
-            let place = match means {
-                Means::Waiting => self.place_by_waiting(minion, waiting),
-                Means::Stopping => self.place_by_stopping(minion, waiting, taken),
+            let place = match source {
+                PlaceSource::ExpectedEnds => self.place_at_expected_end(minion, waiting),
+                PlaceSource::Preemption => self.place_by_preemption(minion, waiting, taken),
             };
             let Some(place) = place else {
                 continue;
             };
-            let rank = |place: &Place| (place.cost, moves(place), place.starts);
+            let rank = |place: &Place| (place.cost, is_new_place(place), place.starts);
             let better = |best: &Place| rank(&place) < rank(best);
             if best.as_ref().is_none_or(better) {
                 best = Some(place);
@@ -360,9 +375,9 @@
         best
     }
 
-    /// Whether a minion could run one more task of a step, its present room and tickets aside.
-    fn may_ever_run(&self, minion: &Minion, waiting: Waiting) -> bool {
-        let Waiting { now, id, step, .. } = waiting;
+    /// Whether a minion could run one more task of a step, regardless of its free room and tickets.
+    fn could_run(&self, minion: &Minion, waiting: WaitingStep) -> bool {
+        let WaitingStep { now, id, step, .. } = waiting;
         let most = waiting.spec.max_per_minion.unwrap_or(u32::MAX);
         let own = || self.of_step_on(minion, id) + self.claims.of_step_on(minion.number, id);
         waiting.need.fits_in(&minion.report.capacity)
@@ -370,9 +385,10 @@
             && own() < most
     }
 
-    fn place_by_waiting(&self, minion: &Minion, waiting: Waiting) -> Option<Place> {
-        let kept = self.claims.total(minion.number);
-        let starts = self.fits_from(waiting.now, minion, &kept.saturating_add(&waiting.need))?;
+    fn place_at_expected_end(&self, minion: &Minion, waiting: WaitingStep) -> Option<Place> {
+        let reserved = self.claims.total(minion.number);
+        let starts =
+            self.fits_from(waiting.now, minion, &reserved.saturating_add(&waiting.need))?;
         Some(Place {
             minion: minion.number,
             starts,
@@ -381,21 +397,22 @@
         })
     }
 
-    /// Room that is made by stopping the least urgent runs, the latest begun first.
-    fn place_by_stopping(
+    /// Room freed by preempting the least urgent runs, the latest proposed first. Room of runs that
+    /// are already being stopped counts without cost.
+    fn place_by_preemption(
         &self,
         minion: &Minion,
-        waiting: Waiting,
+        waiting: WaitingStep,
         taken: &[Place],
     ) -> Option<Place> {
         let now = waiting.now;
-        let wanted = self
+        let required = self
             .claims
             .total(minion.number)
             .saturating_add(&waiting.need);
         let mut room = minion.free();
         let mut starts = now;
-        let mut yielding = Vec::new();
+        let mut preemptible = Vec::new();
         for id in &minion.runs {
             let Some(run) = self.runs.get(id) else {
                 continue;
@@ -404,16 +421,16 @@
                 room = room.saturating_add(&run.need);
                 starts = now + self.cfg.stop_time;
             } else if self.yields_to(now, run, waiting.step.queue.priority) {
-                yielding.push((*id, run));
+                preemptible.push((*id, run));
             }
         }
-        yielding.sort_unstable_by_key(|(id, run)| {
+        preemptible.sort_unstable_by_key(|(id, run)| {
             (std::cmp::Reverse((run.priority, run.proposed)), *id)
         });
         let mut victims = Vec::new();
         let mut cost = 0.0;
-        for (id, run) in yielding {
-            if wanted.fits_in(&room) {
+        for (id, run) in preemptible {
+            if required.fits_in(&room) {
                 break;
             }
             room = room.saturating_add(&run.need);
@@ -421,7 +438,7 @@
             cost += run.need.dominant_share(&minion.report.capacity);
             victims.push(id);
         }
-        wanted.fits_in(&room).then_some(Place {
+        required.fits_in(&room).then_some(Place {
             minion: minion.number,
             starts,
             victims,
@@ -429,15 +446,15 @@
         })
     }
 
-    /// Whether a run may be stopped for work of a priority. One that has only just gone on from
-    /// where it was stopped is spared: it has done less than its stop and its return cost, and
-    /// would be stopped over and over.
+    /// Whether a run may be preempted for work of `priority`. A run that was resumed from a
+    /// checkpoint only recently is spared: it has done less work than its stop and restore cost,
+    /// and would be preempted over and over.
     pub(super) fn yields_to(&self, now: Timestamp, run: &Run, priority: u32) -> bool {
         let RunState::Running(since) = run.state else {
             return false;
         };
-        let paid_off = (self.cfg.stop_time + self.cfg.restore_time) * 2;
-        let spared = run.resumed && now < since + paid_off;
+        let repaid_after = (self.cfg.stop_time + self.cfg.restore_time) * 2;
+        let spared = run.resumed && now < since + repaid_after;
         run.yields && run.priority > priority && !spared
     }
 }
--- a/src/batch/dispatch/crashes.rs
+++ b/src/batch/dispatch/crashes.rs
@@ -1,9 +1,9 @@
-//! Crashes of minions: which run may have caused one, and how its task is tried again.
+//! Crashes of minions: which runs may have caused one, and how their tasks are retried.
 //!
-//! A task may crash each minion that starts it, within moments, and takes everything beside it along.
-//! All runs that had only just begun on a crashed minion are suspected. Their tasks are started again
-//! on trial: one to a minion, and nothing else starts there until the run is seen to work. The next
-//! crash then points at one task, and the others are cleared.
+//! A task can crash every minion that starts it, soon after the start, and ends all other runs
+//! there. All runs that had only just started on a crashed minion are suspected. Their tasks are
+//! started again on trial: one per minion, and nothing else starts there until the run is seen to
+//! work. The next crash then identifies one task, and the others are cleared.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 use crate::batch::note::Note;
 use crate::ids::{MinionId, Timestamp};
 
-/// Work after which a run did not crash its minion by starting.
+/// Run time after which a crash of the minion is not blamed on the start of a run.
 const HARMLESS_AFTER: Duration = Duration::from_millis(500);
-/// Least time between a crash and the first answer of the incarnation that follows.
+/// Least time between a crash and the first answer of the next incarnation.
 const RESTART_TIME: Duration = Duration::from_millis(300);
-/// Time that a run on trial has to be seen to work.
-const TRIAL: Duration = Duration::from_millis(200);
-/// Work after which earlier crashes are held against a task no longer.
+/// Time for which a run on trial must be listed as running to pass its trial.
+const TRIAL_TIME: Duration = Duration::from_millis(200);
+/// Run time after which earlier crashes of a task are cleared.
 const CLEARED_AFTER: Duration = Duration::from_secs(5);
 
 /// Whether a run may crash its minion.
@@ -31,27 +31,29 @@
     /// No crash is counted for its task.
     #[default]
     None,
-    /// Crashes are counted for its task, and it was not seen to work yet.
+    /// Crashes are counted for its task, and it was not yet seen to work: it runs on trial.
     Trial,
-    /// Crashes are counted for its task, and it works.
+    /// Crashes are counted for its task, but it has passed its trial.
     Passed,
 }
 
-/// What shows that an incarnation is gone.
+/// Evidence that an incarnation of a minion is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Proof {
-    /// Another one answers its calls.
+pub(super) enum GoneEvidence {
+    /// Another incarnation answers its calls.
     OtherIncarnation,
-    /// It said that it ends, or another one reported from its address, and nobody listens there.
+    /// It announced its end, or another incarnation reported from its address, and a connection to
+    /// it was refused.
     Refused,
-    /// It said that it ends, and it answers no more.
+    /// It announced its end and no longer answers.
     Silent,
-    /// It holds nothing and has not been heard of for long.
+    /// It answers no holds, holds no runs, its lease is over, and it has sent no report for long or
+    /// its end was announced.
     Idle,
 }
 
-impl Proof {
-    /// Reason in logs.
+impl GoneEvidence {
+    /// Value of `why` in log lines.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             Self::OtherIncarnation => "another incarnation answers",
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Whether a minion that is gone by this proof crashed.
+    /// Whether a minion that is gone by this evidence crashed, rather than ended in order.
     pub(super) fn shows_crash(self, minion: &Minion) -> bool {
         let replaced =
             self == Self::OtherIncarnation || matches!(minion.presence, Presence::Displaced(_));
@@ -69,27 +71,28 @@
     }
 }
 
-/// How well a minion suits a run on trial; the least is the best.
+/// How well a minion suits a run on trial; the lowest value is the best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct TrialScore {
-    /// One that crashed unnoticed would tell nothing of the run.
+    /// The minion was not heard of recently: if it is down already, the trial says nothing about
+    /// the run.
     not_heard: bool,
-    /// Runs that a crash would take along.
+    /// Runs that a crash would end.
     runs: usize,
     score: Score,
 }
 
 impl Dispatcher {
-    /// Runs that may have caused the crash of their minion, which a call sent at `sent` showed.
+    /// Runs that may have crashed their minion. A call sent at `sent` showed the crash.
     pub(super) fn suspects(&self, minion: &Minion, sent: Timestamp) -> Vec<Crash> {
         let runs = minion.runs.iter().filter_map(|id| {
             let run = self.runs.get(id)?;
-            suspicion_of(run, minion, sent).map(|certainty| crash_of(*id, run, certainty))
+            crash_certainty(run, minion, sent).map(|certainty| crash_of(*id, run, certainty))
         });
         runs.collect()
     }
 
-    /// Has crashes counted for the tasks that may have caused them.
+    /// Adds crashes to the next batch, to be counted for the tasks that may have caused them.
     pub(super) fn count_crashes(&mut self, minion: MinionId, crashes: Vec<Crash>) {
         for crash in &crashes {
             self.note(Note::CrashCounted {
@@ -103,7 +106,8 @@
         self.batch.crashes.extend(crashes);
     }
 
-    /// Has the crash of a minion that started again counted for a run that ended with it.
+    /// Counts the crash of a restarted minion for a run that was carried over from its former
+    /// incarnation and is over, if that run was suspected.
     pub(super) fn count_suspected(&mut self, number: MinionNumber, task: TaskId) {
         let run = self.runs.get(&task);
         let Some(crash) = run.and_then(|run| Some(crash_of(task, run, run.suspected?))) else {
@@ -113,7 +117,7 @@
         self.count_crashes(minion.unwrap_or_default(), vec![crash]);
     }
 
-    /// How well a minion suits a run on trial.
+    /// Ranks a minion for a run on trial; `score` is its ordinary score.
     pub(super) fn trial_score(&self, now: Timestamp, minion: &Minion, score: Score) -> TrialScore {
         TrialScore {
             not_heard: !minion.is_heard(now),
@@ -122,7 +126,8 @@
         }
     }
 
-    /// Notes that a minion lists a run as under way.
+    /// Handles a listing that shows a run as running: it may pass its trial or have its crashes
+    /// cleared.
     pub(super) fn seen_at_work(&mut self, now: Timestamp, number: MinionNumber, task: TaskId) {
         let Some(run) = self.runs.get_mut(&task) else {
             return;
@@ -131,7 +136,7 @@
             return;
         };
         match run.suspicion {
-            Suspicion::Trial if now >= since + TRIAL => {
+            Suspicion::Trial if now >= since + TRIAL_TIME => {
                 run.suspicion = Suspicion::Passed;
                 if let Some(minion) = self.minions.get_mut(&number) {
                     minion.trials -= 1;
@@ -155,16 +160,17 @@
     }
 }
 
-/// Whether a run may have crashed its minion; a call sent at `sent` showed the crash.
-fn suspicion_of(run: &Run, minion: &Minion, sent: Timestamp) -> Option<Certainty> {
+/// How certain it is that a run crashed its minion; `None` if it did not. A call sent at `sent`
+/// showed the crash.
+fn crash_certainty(run: &Run, minion: &Minion, sent: Timestamp) -> Option<Certainty> {
     match (run.state, run.ordered) {
         (RunState::Proposed | RunState::Ending, _) => None,
         (RunState::Carried | RunState::CarriedInDoubt, _) => run.suspected,
-        (RunState::Running(since), _) if minion.outlived(since + HARMLESS_AFTER) => None,
+        (RunState::Running(since), _) if minion.was_up_after(since + HARMLESS_AFTER) => None,
         (RunState::Running(since), Some(_)) if minion.was_down_by(since + HARMLESS_AFTER) => {
             Some(Certainty::Begun)
         }
-        // The start reached nobody, or the next incarnation.
+        // The start was lost, or it reached the next incarnation.
         (RunState::Starting | RunState::InDoubt, Some(ordered))
             if sent < ordered + RESTART_TIME =>
         {
--- a/src/batch/dispatch/holds.rs
+++ b/src/batch/dispatch/holds.rs
@@ -1,9 +1,10 @@
-//! Leases: when a minion is held, when it counts as silent, and when what ran there is over.
+//! Holds, which renew the leases of minions and list their runs: when they are sent, when a minion
+//! counts as silent, and when its runs are over.
 
 use std::time::Duration;
 
 use super::Dispatcher;
-use super::crashes::Proof;
+use super::crashes::GoneEvidence;
 use super::minion::{HoldState, Minion, Presence};
 use super::order::{HoldAnswer, HoldOrder, Listing, MinionOrder, Order};
 use crate::batch::ledger::Ledger;
@@ -12,54 +13,58 @@
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
-/// How long a minion may wait for an end before it answers a hold. The platform's longest, as
-/// each answer is a look that costs.
+/// How long a minion may wait for a run to end before it answers a hold. The platform's maximum, as
+/// each answer costs a call.
 const HOLD_WAIT: Duration = Duration::from_millis(2000);
-/// The same where short runs are under way. An answer that is lost hides every end on its minion
-/// until the hold is given up: with 5% of the answers lost, a wait of 2 s made one check in six
-/// late by 2.7 s (age of ends against declared times, a day of 700 jobs).
+/// The same for a minion with short runs. A lost answer hides all ends on its minion until the hold
+/// times out: with 5% of the answers lost, a wait of 2 s made one check in six late by 2.7 s (age
+/// of ends against declared times, over a day of 700 jobs).
 const HOLD_WAIT_SHORT: Duration = Duration::from_millis(500);
-/// The same where a run is on trial: nothing else starts there until it is seen to work.
+/// The same for a minion with a run on trial: nothing else starts there until that run is listed.
 const HOLD_WAIT_TRIAL: Duration = Duration::from_millis(200);
 /// Declared time up to which a run counts as short.
 const SHORT_RUN: Duration = Duration::from_millis(3000);
-/// Part of the longest lease that is left out, for clocks read a round trip ago.
+/// Margin subtracted from the longest lease, as the minion's clock was read up to a round trip ago.
 const LEASE_RESERVE: Duration = Duration::from_millis(200);
-/// Lease of a minion that has said that it leaves. Its end is near, and its last word may be lost
-/// with a leader or find none; its lasting tasks were then away for the whole of a lease of 10 s.
-/// A lost answer shows after up to 1.5 s, and its repetition grants nothing, so holds to such minions
-/// wait for the shorter time: with waits of 2 s one lost hold let everything there lapse.
+/// Lease of a minion that has announced that it leaves. It will end soon, and its last message may
+/// be lost or arrive while there is no leader; with a full lease of 10 s its lasting tasks were
+/// then down for all of it. A lost answer shows only after up to 1.5 s, and the repeated hold
+/// grants no lease, so holds to such minions wait `HOLD_WAIT_SHORT`: with waits of 2 s, one lost
+/// hold let all runs there lapse.
 pub(super) const LEAVING_LEASE: Duration = Duration::from_secs(4);
-/// Pause before the next try at a minion that did not answer.
+/// Pause before the next hold to a minion that did not answer; grows by as much with each failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Longest such pause.
+/// Upper bound of that pause.
 const RETRY_PAUSE_MAX: Duration = Duration::from_secs(1);
 /// Pause between an answer with ends and the next hold: ends that come close together share one
-/// look, and the ones just listed are agreed by then and can be acknowledged with it.
-const GATHER: Duration = Duration::from_millis(15);
-/// Pause between two looks at a minion that still answers although its end was told of.
+/// listing, and those just listed are committed by then and are acknowledged by the next hold.
+const COLLECT_PAUSE: Duration = Duration::from_millis(15);
+/// Pause between two holds to a minion that still answers although its end was announced.
 const LEAVING_PAUSE: Duration = Duration::from_millis(100);
-/// Time between two looks at all minions for what is due by time alone: a pause that is over, a lease
-/// that has run out. Small against these pauses, and against a round trip.
-const TEND_EVERY: Duration = Duration::from_millis(5);
-/// A silent minion that is idle and sends no report for this long is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
+/// Time between two scans of all minions for what is due by time alone: a pause that is over or a
+/// lease that has expired. Small compared with these pauses and with a round trip.
+const SCAN_INTERVAL: Duration = Duration::from_millis(5);
+/// A silent, idle minion that sends no report for this long is removed.
+const REMOVE_IDLE_AFTER: Duration = Duration::from_secs(30);
 
 impl Dispatcher {
-    /// Sends the holds that are due and gives up on minions whose lease is over.
+    /// Sends the holds that are due and ends runs on silent minions whose lease is over.
     ///
-    /// This is asked after every answer. A look at all minions each time would make the work for one
-    /// answer grow with the cell, so in between only those that something happened to are looked at.
+    /// Called after every answer. Scanning all minions each time would make the work per answer
+    /// grow with the cell, so between full scans only minions with a recent event are checked.
     pub(super) fn tend_minions(&mut self, now: Timestamp) {
         let touched = std::mem::take(&mut self.touched);
-        let needs_tending = |m: &&Minion| m.needs_tending(now);
+        let needs_maintenance = |m: &&Minion| m.needs_maintenance(now);
         let due: Vec<_> = if now >= self.tend_at {
-            self.tend_at = now + TEND_EVERY;
-            let due = self.minions.values().filter(needs_tending);
+            self.tend_at = now + SCAN_INTERVAL;
+            let due = self.minions.values().filter(needs_maintenance);
             due.map(|m| m.number).collect()
         } else {
             let touched = touched.iter().filter_map(|number| self.minions.get(number));
-            touched.filter(needs_tending).map(|m| m.number).collect()
+            touched
+                .filter(needs_maintenance)
+                .map(|m| m.number)
+                .collect()
         };
         for number in due {
             self.end_lapsed(number, now);
@@ -85,14 +90,14 @@
         } else {
             longest
         };
-        // A silent minion is asked without a further lease: each one might reach it late, and its
-        // tasks could never be started elsewhere while the leader kept asking.
+        // A hold to a silent minion grants no lease: any of them might arrive late, so its tasks
+        // could never be started elsewhere while the leader keeps retrying.
         let deadline = minion
             .lease_deadline(now, lease)
             .filter(|_| minion.silent_calls == 0);
         minion.lease = minion.lease.max(deadline.unwrap_or_default());
         minion.hold = HoldState::Waiting(wait);
-        // While it is silent it may start again, with ends that are numbered anew.
+        // A silent minion may have restarted and numbers its ends from the start again.
         let acked = if minion.silent_calls == 0 {
             minion.acked_end
         } else {
@@ -116,23 +121,23 @@
         let HoldState::Due(at) = minion.hold else {
             return false;
         };
-        // An end that waits for agreement would be listed again at once.
-        let agreeing = minion.fenced && minion.seen_end > minion.acked_end;
-        let pause = if agreeing && !minion.runs.is_empty() {
-            GATHER * 4
+        // An end that is not committed yet is not acknowledged and would be listed again at once.
+        let committing = minion.fenced && minion.seen_end > minion.acked_end;
+        let pause = if committing && !minion.runs.is_empty() {
+            COLLECT_PAUSE * 4
         } else {
             Duration::ZERO
         };
         minion.wants_hold() && now >= at + pause
     }
 
-    /// How long a minion may wait for an end before it answers its next hold.
+    /// How long a minion may wait for a run to end before it answers its next hold.
     fn hold_wait(&self, now: Timestamp, minion: &Minion) -> Duration {
-        let here = minion.presence == Presence::Here;
-        if !minion.fenced || minion.silent_calls > 0 || !here {
+        let present = minion.presence == Presence::Present;
+        if !minion.fenced || minion.silent_calls > 0 || !present {
             Duration::ZERO
         } else if minion.trials > 0 {
-            // Whether it is up is to be known before the run on trial starts.
+            // A recent answer must show that it is up before the run on trial starts.
             if minion.is_heard(now) {
                 HOLD_WAIT_TRIAL
             } else {
@@ -153,7 +158,7 @@
         minion.draining || runs.any(short)
     }
 
-    /// Takes the answer to the hold that was sent at `sent`.
+    /// Handles the answer to the hold that was sent at `sent`.
     pub fn held(
         &mut self,
         now: Timestamp,
@@ -162,8 +167,9 @@
         answer: HoldAnswer,
         ledger: &Ledger,
     ) {
-        // An answer to a hold of an earlier term of this replica does not show that the minion knows
-        // the present one: an order of a leader between the two could still be carried out.
+        // An answer to a hold from an earlier term of this replica does not prove that the minion
+        // has seen the current token: it could still execute an order of a leader between the two
+        // terms.
         if sent < self.began {
             return;
         }
@@ -175,26 +181,28 @@
             HoldAnswer::Listing(Listing {
                 started: Some(started),
                 ..
-            }) if minion.is_other(started) => self.restart_listed(now, number, sent, started),
+            }) if minion.is_other_incarnation(started) => {
+                self.restart_listed(now, number, sent, started)
+            }
             HoldAnswer::Listing(listing) => {
-                minion.answered_hold(sent, now);
+                minion.record_hold_answer(sent, now);
                 let pause = match (minion.presence, listing.ended.is_empty()) {
-                    (Presence::Here, true) => Duration::ZERO,
-                    (Presence::Here, false) => GATHER,
+                    (Presence::Present, true) => Duration::ZERO,
+                    (Presence::Present, false) => COLLECT_PAUSE,
                     _ => LEAVING_PAUSE,
                 };
                 minion.hold = HoldState::Due(now + pause);
                 self.take_listing(now, number, sent, listing, ledger);
             }
             HoldAnswer::OtherIncarnation => {
-                self.minion_gone(now, number, sent, Proof::OtherIncarnation)
+                self.minion_gone(now, number, sent, GoneEvidence::OtherIncarnation)
             }
             HoldAnswer::Refused | HoldAnswer::Silent(_) => {
                 if let HoldAnswer::Silent(silence) = answer {
-                    minion.failed_call(sent, silence, now);
+                    minion.record_failed_call(sent, silence, now);
                 }
                 minion.silent_calls += 1;
-                // The first try follows at once, over another connection.
+                // The first retry follows at once, over another connection.
                 let pause = (RETRY_PAUSE * (minion.silent_calls - 1)).min(RETRY_PAUSE_MAX);
                 minion.hold = HoldState::Due(now + pause);
                 if minion.silent_calls == 1 {
@@ -208,15 +216,15 @@
                 }
                 let minion = &self.minions[&number];
                 if let HoldAnswer::Silent(silence) = answer
-                    && let Some(proof) = minion.shows_end(sent, silence, self.cfg.stop_time)
+                    && let Some(evidence) = minion.shows_end(sent, silence, self.cfg.stop_time)
                 {
-                    self.minion_gone(now, number, sent, proof);
+                    self.minion_gone(now, number, sent, evidence);
                 }
             }
         }
     }
 
-    /// Ends all that ran on a silent minion once its lease is over for sure.
+    /// Ends all runs on a silent minion once its lease is certainly over.
     fn end_lapsed(&mut self, number: MinionNumber, now: Timestamp) {
         let Some(minion) = self.minions.get(&number) else {
             return;
@@ -225,10 +233,10 @@
             return;
         }
         let idle = minion.runs.is_empty() && minion.strays.is_empty();
-        let ends = minion.presence != Presence::Here;
-        let unheard = now > minion.reported + FORGET_AFTER;
-        if idle && (unheard || ends) && minion.lease_over(now) {
-            self.minion_gone(now, number, now, Proof::Idle);
+        let is_ending = minion.presence != Presence::Present;
+        let no_report = now > minion.reported + REMOVE_IDLE_AFTER;
+        if idle && (no_report || is_ending) && minion.lease_over(now) {
+            self.minion_gone(now, number, now, GoneEvidence::Idle);
             return;
         }
         if idle || !minion.lease_over(now) {
@@ -254,14 +262,14 @@
         }
     }
 
-    /// An incarnation is gone for good, and all that ran there with it; a call sent at `sent` showed
-    /// it.
+    /// Removes an incarnation that is gone for good and ends its runs. A call sent at `sent` showed
+    /// that it is gone.
     pub(super) fn minion_gone(
         &mut self,
         now: Timestamp,
         number: MinionNumber,
         sent: Timestamp,
-        proof: Proof,
+        evidence: GoneEvidence,
     ) {
         let Some(minion) = self.minions.get(&number) else {
             return;
@@ -270,11 +278,11 @@
         let heard = minion.heard;
         let note = Note::MinionGone {
             minion: minion.report.id.clone(),
-            why: proof.as_str(),
+            why: evidence.as_str(),
             heard: now.saturating_sub(heard),
             runs: tasks.len(),
         };
-        let crashed = proof.shows_crash(minion);
+        let crashed = evidence.shows_crash(minion);
         let mut suspects = self.suspects(minion, sent);
         self.note(note);
         let kind = if crashed {
--- a/src/batch/dispatch/listings.rs
+++ b/src/batch/dispatch/listings.rs
@@ -1,10 +1,11 @@
-//! Lists of minions: what runs, what has ended, and what can be told from a run that is in neither.
+//! Listings of minions: runs that are running, runs that have ended, and what follows for runs that
+//! are listed as neither.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::mechanisms::Mechanism;
-use super::minion::Stray;
+use super::minion::OrphanedRun;
 use super::order::{ListedEnd, ListedRun, Listing, MinionOrder, Order};
 use super::run::{RunState, StopState};
 use super::{Dispatcher, charged};
@@ -13,18 +14,19 @@
 use crate::batch::note::Note;
 use crate::ids::Timestamp;
 
-/// Ends a minion lists at most; with as many, runs it does not list may be among the rest.
-const ENDS_LISTED: usize = 500;
-/// Pause between two lines about rows that could not be read: a foreign row stays listed.
-const UNREADABLE_TOLD: Duration = Duration::from_secs(1);
-/// Time that a lasting run has to work for its minion to count as sound: a minion that fails all that
-/// it starts does so well before.
-const PROVED_SOUND: Duration = Duration::from_secs(5);
-/// Pause between two orders to stop a run that is listed although nobody wants it.
-const STRAY_PAUSE: Duration = Duration::from_secs(1);
+/// Most ends that a minion lists. A listing with this many may be truncated, so a run that it does
+/// not contain may have ended too.
+const MAX_ENDS_LISTED: usize = 500;
+/// Least time between two log lines about unreadable rows: such a row stays listed.
+const UNREADABLE_LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Run time of a lasting run that proves its minion healthy: a minion that fails every run does so
+/// much sooner.
+const PROVEN_HEALTHY_AFTER: Duration = Duration::from_secs(5);
+/// Least time between two orders to stop the same orphaned run.
+const ORPHAN_STOP_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
-    /// Takes the lists in an answer to the hold that was sent at `sent`.
+    /// Handles the listing in an answer to the hold that was sent at `sent`.
     pub(super) fn take_listing(
         &mut self,
         now: Timestamp,
@@ -36,17 +38,18 @@
         let Some(minion) = self.minions.get_mut(&number) else {
             return;
         };
-        minion.read_clock(listing.clock, sent, now);
-        minion.answers_itself(sent);
-        // It answers, so it did not crash.
+        minion.record_clock(listing.clock, sent, now);
+        minion.confirm_presence(sent);
+        // The same incarnation answers, so it did not crash.
         minion.lapsed.clear();
-        let first_word = !minion.fenced;
+        let first_answer = !minion.fenced;
         minion.fenced = true;
-        if first_word {
+        if first_answer {
             self.place_wanted = true;
         }
-        // An unreadable row may be any run. Taken for absent, it would be started a second time.
-        let whole = listing.ended.len() < ENDS_LISTED && listing.unreadable == 0;
+        // An unreadable row may be any run. If that run counted as absent, its task would be
+        // started a second time.
+        let is_complete = listing.ended.len() < MAX_ENDS_LISTED && listing.unreadable == 0;
         if listing.unreadable > 0 {
             self.note_unreadable(now, number, listing.unreadable);
         }
@@ -56,14 +59,14 @@
         for listed in &listing.running {
             self.take_running(now, number, listed, ledger);
         }
-        if whole {
+        if is_complete {
             self.reconcile(now, number, sent, &listing);
         }
     }
 
     fn note_unreadable(&mut self, now: Timestamp, number: MinionNumber, rows: u32) {
-        let told = self.unreadable_told;
-        if told.is_some_and(|at| now < at + UNREADABLE_TOLD) {
+        let logged = self.unreadable_told;
+        if logged.is_some_and(|at| now < at + UNREADABLE_LOG_INTERVAL) {
             return;
         }
         self.unreadable_told = Some(now);
@@ -82,60 +85,61 @@
         }
         minion.seen_end = end.number;
         self.unacknowledged.insert(number);
-        if let Some(stray) = minion.strays.remove(&(end.task, end.run)) {
-            self.stray_over(number, end.task, end.run, &stray);
+        if let Some(orphan) = minion.strays.remove(&(end.task, end.run)) {
+            self.orphan_over(number, end.task, end.run, &orphan);
         }
-        let ours = self
+        let is_tracked = self
             .runs
             .get(&end.task)
             .is_some_and(|r| r.run == end.run && r.minion == number);
-        if ours {
+        if is_tracked {
             match end.kind {
-                EndKind::Done => self.learn_from_done(now, number, end.task),
-                EndKind::Failed => self.learn_from_failed(now, number, end.task),
+                EndKind::Done => self.record_done(now, number, end.task),
+                EndKind::Failed => self.record_failed(now, number, end.task),
                 _ => {}
             }
             self.run_over(now, end.task, end.kind, end.checkpoint.clone());
         }
     }
 
-    fn learn_from_done(&mut self, now: Timestamp, number: MinionNumber, task: TaskId) {
+    fn record_done(&mut self, now: Timestamp, number: MinionNumber, task: TaskId) {
         let (Some(minion), Some(run)) = (self.minions.get_mut(&number), self.runs.get(&task))
         else {
             return;
         };
         minion.succeeded();
-        let seen = run.worked(now);
-        self.profiles.learn(&run.queue, run.estimate, seen);
+        let run_time = run.worked(now);
+        self.profiles.learn(&run.queue, run.estimate, run_time);
         if self.cfg.mechanisms.has(Mechanism::LearntSpeeds) {
-            self.speeds.learn(&mut minion.pace, run.estimate, seen);
+            self.speeds.learn(&mut minion.pace, run.estimate, run_time);
         }
-        if run.resumed || seen.is_zero() {
+        if run.resumed || run_time.is_zero() {
             return;
         }
-        self.observed.entry(task.step).or_default().learn(seen);
-        // The room that comes free is given away in this very round, in an order that should know
-        // of it.
+        self.observed.entry(task.step).or_default().learn(run_time);
+        // The freed room is assigned in this same round, so the order of service must include this
+        // run time.
         if self.ready.contains_key(&task.step) {
             self.dirty_jobs.insert(task.step.job);
         }
     }
 
-    /// A lasting run never ends well, so one that has worked for a while clears its minion as a
-    /// finished one does. Counted as failures they kept minions without work for 8 s after each.
-    fn learn_from_failed(&mut self, now: Timestamp, number: MinionNumber, task: TaskId) {
+    /// Counts a failed run against its minion. A lasting run never ends as done, so one that ran
+    /// for at least `PROVEN_HEALTHY_AFTER` counts as a success; counted as a failure, each such run
+    /// kept its minion without new work for 8 s.
+    fn record_failed(&mut self, now: Timestamp, number: MinionNumber, task: TaskId) {
         let (Some(minion), Some(run)) = (self.minions.get_mut(&number), self.runs.get(&task))
         else {
             return;
         };
-        if !run.ends && run.worked(now) >= PROVED_SOUND {
+        if !run.ends && run.worked(now) >= PROVEN_HEALTHY_AFTER {
             minion.succeeded();
         } else {
             minion.failed(now);
         }
     }
 
-    /// The run of a task is over: frees its room and has its end agreed.
+    /// Ends the run of a task: frees its room and adds its end to the next batch.
     pub(super) fn run_over(
         &mut self,
         now: Timestamp,
@@ -197,11 +201,11 @@
             self.seen_at_work(now, number, listed.task);
             return;
         }
-        self.stop_stray(now, number, listed.task, listed.run, ledger);
+        self.stop_orphan(now, number, listed.task, listed.run, ledger);
     }
 
-    /// Stops a run that no decision stands behind, and counts its room until it has ended.
-    fn stop_stray(
+    /// Orders an orphaned run to stop, and counts its room until it has ended.
+    fn stop_orphan(
         &mut self,
         now: Timestamp,
         number: MinionNumber,
@@ -214,20 +218,20 @@
             return;
         };
         let due = match minion.strays.get_mut(&(task, run)) {
-            Some(stray) => {
-                let due = now >= stray.told + STRAY_PAUSE;
+            Some(orphan) => {
+                let due = now >= orphan.stop_sent + ORPHAN_STOP_INTERVAL;
                 if due {
-                    stray.told = now;
+                    orphan.stop_sent = now;
                 }
                 due
             }
             None => {
-                let stray = stray(ledger, task, now);
-                minion.used = minion.used.saturating_add(&stray.room);
-                if let Some(charge) = stray.charge(task, run) {
+                let orphan = orphaned_run(ledger, task, now);
+                minion.used = minion.used.saturating_add(&orphan.room);
+                if let Some(charge) = orphan.charge(task, run) {
                     self.quotas.add(charge);
                 }
-                minion.strays.insert((task, run), stray);
+                minion.strays.insert((task, run), orphan);
                 true
             }
         };
@@ -238,12 +242,12 @@
         }
     }
 
-    /// Settles runs that the minion lists neither as running nor as ended.
+    /// Ends runs that the minion lists neither as running nor as ended.
     ///
-    /// Only runs whose start was answered before the hold left can be missed: an answer to a
-    /// hold may have been written before a start that was sent later was carried out. Runs in
-    /// doubt are settled once they can no longer begin: their deadline has passed, their stop was
-    /// confirmed, or they were ordered under a token that the minion refuses from now on.
+    /// A running run counts as missing only if its start was answered before the hold was sent: the
+    /// answer to a hold may have been written before a later start was carried out. Runs in doubt
+    /// end once they can no longer start: their deadline has passed, their stop was confirmed, or
+    /// they were ordered under a token that the minion now refuses.
     fn reconcile(
         &mut self,
         now: Timestamp,
@@ -294,54 +298,61 @@
             self.run_over(now, task, kind, Default::default());
         }
         for task in in_doubt {
-            // Once the stop is confirmed, no order begins it any more.
+            // Once the stop is confirmed, no order can start the run any more.
             self.stop_run(now, task);
         }
         let Some(minion) = self.minions.get_mut(&number) else {
             return;
         };
-        // A stray that is neither running nor among the ends has ended before.
+        // An orphaned run that is listed neither as running nor as ended has ended before.
         let mut over = Vec::new();
-        minion.strays.retain(|(task, run), stray| {
-            let stays = listed(*task, *run) || stray.told >= sent;
+        minion.strays.retain(|(task, run), orphan| {
+            let stays = listed(*task, *run) || orphan.stop_sent >= sent;
             if !stays {
-                over.push((*task, *run, stray.clone()));
+                over.push((*task, *run, orphan.clone()));
             }
             stays
         });
-        for (task, run, stray) in over {
-            self.stray_over(number, task, run, &stray);
+        for (task, run, orphan) in over {
+            self.orphan_over(number, task, run, &orphan);
         }
     }
 
-    /// Counts strays that are over no more against the limits of their workspaces.
-    pub(super) fn discharge(&mut self, strays: &BTreeMap<(TaskId, RunNumber), Stray>) {
-        for ((task, run), stray) in strays {
-            if let Some(charge) = stray.charge(*task, *run) {
+    /// Stops counting orphaned runs that are over against the limits of their workspaces.
+    pub(super) fn discharge(&mut self, strays: &BTreeMap<(TaskId, RunNumber), OrphanedRun>) {
+        for ((task, run), orphan) in strays {
+            if let Some(charge) = orphan.charge(*task, *run) {
                 self.quotas.remove(charge);
             }
         }
     }
 
-    fn stray_over(&mut self, number: MinionNumber, task: TaskId, run: RunNumber, stray: &Stray) {
+    fn orphan_over(
+        &mut self,
+        number: MinionNumber,
+        task: TaskId,
+        run: RunNumber,
+        orphan: &OrphanedRun,
+    ) {
         if let Some(minion) = self.minions.get_mut(&number) {
-            minion.used = minion.used.saturating_sub(&stray.room);
+            minion.used = minion.used.saturating_sub(&orphan.room);
         }
-        if let Some(charge) = stray.charge(task, run) {
+        if let Some(charge) = orphan.charge(task, run) {
             self.quotas.remove(charge);
         }
         self.place_wanted = true;
     }
 }
 
-/// A run that is seen for the first time, with what its job says of it.
-fn stray(ledger: &Ledger, task: TaskId, now: Timestamp) -> Stray {
+/// The record of an orphaned run that is listed for the first time. If its job is unknown, it
+/// counts as using nothing.
+fn orphaned_run(ledger: &Ledger, task: TaskId, now: Timestamp) -> OrphanedRun {
     let job = ledger.jobs.get(&task.step.job);
     let spec = job.and_then(|job| job.spec.steps.get(usize::from(task.step.step)));
     let owner = job.and_then(|job| job.owner.clone());
-    Stray {
+    OrphanedRun {
         room: spec.map_or_else(Default::default, charged),
         owned: owner.zip(spec.map(|spec| spec.need)),
-        told: now,
+        stop_sent: now,
     }
 }
--- a/src/batch/dispatch/minion.rs
+++ b/src/batch/dispatch/minion.rs
@@ -1,10 +1,10 @@
-//! One incarnation of a minion in the leader's eyes: its clock, its lease, what it holds.
+//! The leader's record of one incarnation of a minion: its clock, its lease and its runs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use super::STALE_ORDERS;
-use super::crashes::Proof;
+use super::crashes::GoneEvidence;
 use super::order::{Silence, Target};
 use super::quota::Charge;
 use super::speed::Pace;
@@ -13,61 +13,63 @@
 use crate::ids::{Timestamp, WorkspaceName};
 use crate::resources::Resources;
 
-/// A minion's clock may run this much slower than ours; from the platform's contract.
+/// Slowest rate of a minion's clock relative to this replica's, as the platform guarantees it.
 pub(super) const CLOCK_RATE: f64 = 0.98;
-/// Failures in a row before a minion gets no work. With one run in twenty failing by its own
-/// fault, two in a row come by chance once in 400.
-const FAILURES_TOLERATED: u32 = 2;
-/// First time for which it gets none.
-const AVOID: Duration = Duration::from_secs(1);
+/// Consecutive failures from which on a minion gets no new work for a while. With one run in twenty
+/// failing by its own fault, two in a row happen by chance once in 400.
+const AVOID_FROM_FAILURES: u32 = 2;
+/// First and shortest time without new work after such failures.
+const AVOID_MIN: Duration = Duration::from_secs(1);
 
-/// Age up to which an answer shows that a minion is up.
-const RECENT: Duration = Duration::from_millis(100);
+/// Age up to which a sign of life counts as evidence that a minion is up.
+const SIGN_OF_LIFE_MAX_AGE: Duration = Duration::from_millis(100);
 
-/// Time after which a call that was neither refused nor answered has been taken.
-const TAKEN: Duration = Duration::from_millis(50);
+/// Time after which a call that was neither refused nor answered must have been accepted.
+const ACCEPTED_AFTER: Duration = Duration::from_millis(50);
 
-/// A reading of a minion's clock. It was taken after the request left and before the answer came.
+/// A reading of a minion's clock, taken between sending the request and receiving the answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClockReading {
+    /// On the minion's clock.
     value: Duration,
+    /// On this replica's clock, as is `received`.
     sent: Timestamp,
     received: Timestamp,
 }
 
 impl ClockReading {
-    /// The minion's clock is at most this at `now`.
+    /// Upper bound of the minion's clock at `now`.
     fn latest(&self, now: Timestamp) -> Duration {
         self.value + now.saturating_sub(self.sent)
     }
 
-    /// The minion's clock is at least this at `now`.
+    /// Lower bound of the minion's clock at `now`.
     pub(super) fn earliest(&self, now: Timestamp) -> Duration {
         self.value + now.saturating_sub(self.received).mul_f64(CLOCK_RATE)
     }
 }
 
-/// Where the one hold of a minion stands.
+/// State of a minion's hold, of which there is at most one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HoldState {
-    /// None is on the way; the next may leave then.
+    /// No hold is pending; the next may be sent at this time.
     Due(Timestamp),
-    /// Sent, and may wait there for this long.
+    /// A hold was sent; the minion may wait this long before it answers.
     Waiting(Duration),
 }
 
-/// What is known of a minion's end.
+/// Signs that an incarnation of a minion has ended or will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Presence {
-    /// Nothing.
-    Here,
-    /// Another one reported from its address then.
+    /// No such sign.
+    Present,
+    /// Another incarnation reported from the same address at this time.
     Displaced(Timestamp),
-    /// It said then that it ends.
-    Left(Timestamp),
+    /// It announced at this time that it ends.
+    Leaving(Timestamp),
 }
 
-/// A start that brought no answer.
+/// A start order without an answer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct UnsettledStart {
     pub(super) task: TaskId,
@@ -76,25 +78,26 @@
 }
 
 impl UnsettledStart {
-    /// Whether it may yet be carried out.
+    /// Whether the minion, or its next incarnation, may still carry the order out.
     pub(super) fn may_come(&self, now: Timestamp) -> bool {
         now < self.sent + STALE_ORDERS
     }
 }
 
-/// A run that a minion lists and no decision of ours stands behind.
+/// A run that a minion lists but that the leader doesn't track there. It is stopped.
 #[derive(Clone, Debug)]
-pub(super) struct Stray {
-    /// Room that it takes of its minion.
+pub(super) struct OrphanedRun {
+    /// Room that it uses on its minion.
     pub(super) room: Resources,
-    /// What it counts against the limit of its workspace, if its job is known.
+    /// Its workspace and the need that counts against the limit there; `None` if its job is unknown
+    /// or belongs to no workspace.
     pub(super) owned: Option<(WorkspaceName, Resources)>,
-    /// When the minion was last told to stop it.
-    pub(super) told: Timestamp,
+    /// When an order to stop it was last sent.
+    pub(super) stop_sent: Timestamp,
 }
 
-impl Stray {
-    /// How it counts against the limit of its workspace.
+impl OrphanedRun {
+    /// Its charge against the limit of its workspace; `None` without a workspace.
     pub(super) fn charge(&self, task: TaskId, run: RunNumber) -> Option<Charge<'_>> {
         let (owner, need) = self.owned.as_ref()?;
         Some(Charge {
@@ -106,60 +109,65 @@
     }
 }
 
-/// One incarnation of a minion.
+/// State of one incarnation of a minion. A restart gets a new number and record.
 #[derive(Debug)]
 pub(super) struct Minion {
     pub(super) number: MinionNumber,
     pub(super) report: MinionReport,
+    /// Number of its rack; minions without a rack label share one.
     pub(super) rack: usize,
+    /// It gets no new work, as it has reported or announced that it drains.
     pub(super) draining: bool,
-    /// No configured service is its own: it may be no minion at all, and gets no calls.
+    /// It reports a service that isn't configured. It may not be a minion at all and gets no calls.
     pub(super) foreign: bool,
     pub(super) presence: Presence,
-    /// It started again and has not reported since: its capacity and labels may be others.
+    /// It restarted and has not reported since, so its capacity and labels may have changed.
     pub(super) unreported: bool,
-    /// It has answered a hold under this leader's token: orders of earlier leaders do nothing.
+    /// It has answered a hold with this leader's token, so it refuses orders of earlier leaders.
     pub(super) fenced: bool,
-    /// Our time at which a lease granted by an earlier leader is over for sure.
+    /// When leases granted by earlier leaders are certainly over, on this replica's clock.
     pub(super) assumed_until: Timestamp,
-    /// Highest deadline this leader has sent, on the minion's clock.
+    /// Highest deadline that this leader has sent, on the minion's clock.
     pub(super) lease: Duration,
     clock: Option<ClockReading>,
+    /// When its clock was last received, or else when this record was made.
     pub(super) heard: Timestamp,
+    /// When its last report was received, or else when this record was made.
     pub(super) reported: Timestamp,
     /// Latest time at which it is known to have been up.
-    last_sign: Timestamp,
-    /// Earliest time by which it is known to have been down, unless it has answered since.
+    last_sign_of_life: Timestamp,
+    /// Earliest time by which it is known to have been down; reset by an answer.
     down_by: Option<Timestamp>,
-    /// Calls in a row that brought no answer.
+    /// Consecutive holds without an answer.
     pub(super) silent_calls: u32,
     pub(super) hold: HoldState,
-    /// When an order was sent that brought no answer; none once a later one has.
+    /// When the latest unanswered order was sent; reset by the answer to a later one.
     unanswered: Option<Timestamp>,
-    /// Last end taken from its list.
+    /// Number of the last end taken from its listings.
     pub(super) seen_end: u64,
-    /// Last end that is agreed.
+    /// Number of the last end that is committed and may be acknowledged.
     pub(super) acked_end: u64,
-    /// Room given away, runs that are being stopped included.
+    /// Room of its runs, including runs that are being stopped.
     pub(super) used: Resources,
-    /// Processor use declared by tasks that fill; not part of `used`.
+    /// Millicores declared by filler tasks; not part of `used`.
     pub(super) filling: u32,
-    /// Serving tasks with a latency target.
+    /// Number of runs with a latency target.
     pub(super) serving: u32,
     pub(super) runs: BTreeSet<TaskId>,
-    /// Runs that the minion lists and no decision of ours stands behind, with their room.
-    pub(super) strays: BTreeMap<(TaskId, RunNumber), Stray>,
-    /// Runs on trial; nothing else starts beside one.
+    /// Runs that it lists but that the leader doesn't track there.
+    pub(super) strays: BTreeMap<(TaskId, RunNumber), OrphanedRun>,
+    /// Number of runs on trial; nothing else starts beside one.
     pub(super) trials: u32,
-    /// Runs whose lease ran out while it was silent, and that caused its crash if it crashed.
+    /// Suspected runs whose lease expired while it was silent. They count as causes of its crash if
+    /// it turns out that it crashed.
     pub(super) lapsed: Vec<Crash>,
-    /// The next incarnation of this name may carry them out.
+    /// Unanswered starts that the next incarnation of this id may still carry out.
     pub(super) unsettled: Vec<UnsettledStart>,
-    /// Failed ends and refusals in a row.
+    /// Consecutive failed runs and refused starts.
     pub(super) failures: u32,
-    /// Run times seen on it.
+    /// Run times observed on it.
     pub(super) pace: Pace,
-    /// No new work before then.
+    /// It gets no new work before this time.
     pub(super) avoid_until: Timestamp,
 }
 
@@ -171,7 +179,7 @@
             report,
             rack: 0,
             foreign: false,
-            presence: Presence::Here,
+            presence: Presence::Present,
             unreported: false,
             fenced: false,
             assumed_until: Timestamp::ZERO,
@@ -179,7 +187,7 @@
             clock: None,
             heard: now,
             reported: now,
-            last_sign: Timestamp::ZERO,
+            last_sign_of_life: Timestamp::ZERO,
             down_by: None,
             silent_calls: 0,
             hold: HoldState::Due(now),
@@ -209,68 +217,68 @@
         }
     }
 
-    /// Notes that another incarnation reports from its address.
+    /// Records that another incarnation reported from its address.
     pub(super) fn displaced(&mut self, now: Timestamp) {
-        if self.presence == Presence::Here {
+        if self.presence == Presence::Present {
             self.presence = Presence::Displaced(now);
         }
-        self.look_at_once(now);
+        self.make_hold_due(now);
     }
 
-    /// Notes that it answered a call sent at `sent`: whoever reported from its address is not there.
+    /// Records that it answered a call sent at `sent`, so it was not displaced at an earlier time.
     ///
-    /// A late report of an incarnation that crashed may come from the address of the one that took
-    /// its place, which was passed over for good by it.
-    pub(super) fn answers_itself(&mut self, sent: Timestamp) {
+    /// A delayed report of a crashed incarnation can name the address of its successor. Without
+    /// this, the successor would count as displaced and get no work for good.
+    pub(super) fn confirm_presence(&mut self, sent: Timestamp) {
         if matches!(self.presence, Presence::Displaced(at) if sent >= at) {
-            self.presence = Presence::Here;
+            self.presence = Presence::Present;
         }
     }
 
-    /// Notes its word that it ends.
+    /// Records its announcement that it ends.
     pub(super) fn left(&mut self, now: Timestamp) {
-        if !matches!(self.presence, Presence::Left(_)) {
-            self.presence = Presence::Left(now);
+        if !matches!(self.presence, Presence::Leaving(_)) {
+            self.presence = Presence::Leaving(now);
         }
         self.draining = true;
-        self.look_at_once(now);
+        self.make_hold_due(now);
     }
 
-    /// What shows that it has ended, when a call sent at `sent` brought no answer. What runs there
-    /// may go on for `stop_time` after its word.
+    /// Evidence that it has ended, if a call sent at `sent` got no answer. Its runs may continue
+    /// for `stop_time` after it announced its end.
     ///
-    /// Its host refuses connections for some 50 ms after the end and then takes no notice of them.
-    /// While only a refusal was believed, a call that came later left the leader waiting for the
-    /// end of the lease, and lasting tasks were away for more than 11 s. A call that was sent when
-    /// all must be over and brings nothing says as much: a minion that still works answers it. One
-    /// reset connection is no such call, so the second in a row counts.
+    /// Its host refuses connections for about 50 ms after the end and then drops packets. If only a
+    /// refusal counted, a later call would leave the leader waiting for the end of the lease, and
+    /// lasting tasks were down for more than 11 s. A call sent when all runs must be over and left
+    /// unanswered shows the end as well, since a minion that is still up would answer. A single
+    /// reset connection does not show it, so only the second unanswered call in a row counts.
     pub(super) fn shows_end(
         &self,
         sent: Timestamp,
         silence: Silence,
         stop_time: Duration,
-    ) -> Option<Proof> {
+    ) -> Option<GoneEvidence> {
         match (self.presence, silence) {
-            (Presence::Here, _) => None,
-            (_, Silence::Refused) => Some(Proof::Refused),
-            (Presence::Left(at), Silence::Lost | Silence::Broken)
+            (Presence::Present, _) => None,
+            (_, Silence::Refused) => Some(GoneEvidence::Refused),
+            (Presence::Leaving(at), Silence::Lost | Silence::Broken)
                 if sent >= at + stop_time && self.silent_calls > 1 =>
             {
-                Some(Proof::Silent)
+                Some(GoneEvidence::Silent)
             }
             _ => None,
         }
     }
 
-    /// Has the next hold leave now, if none is on the way.
-    pub(super) fn look_at_once(&mut self, now: Timestamp) {
+    /// Makes the next hold due now, if none is pending.
+    pub(super) fn make_hold_due(&mut self, now: Timestamp) {
         if let HoldState::Due(at) = &mut self.hold {
             *at = now;
         }
     }
 
-    /// Notes the clock in an answer to a request sent at `sent`.
-    pub(super) fn read_clock(&mut self, value: Duration, sent: Timestamp, now: Timestamp) {
+    /// Records the clock in the answer to a request sent at `sent`.
+    pub(super) fn record_clock(&mut self, value: Duration, sent: Timestamp, now: Timestamp) {
         self.clock = Some(ClockReading {
             value,
             sent,
@@ -284,79 +292,86 @@
         }
     }
 
-    /// Whether its last sign of life shows that it was up at `at`.
+    /// Whether its last sign of life is recent enough at `at` to count it as up.
     pub(super) fn is_heard(&self, at: Timestamp) -> bool {
-        at <= self.last_sign + RECENT
+        at <= self.last_sign_of_life + SIGN_OF_LIFE_MAX_AGE
     }
 
     /// Whether it is known to have been up at `at` or later.
-    pub(super) fn outlived(&self, at: Timestamp) -> bool {
-        self.last_sign >= at
+    pub(super) fn was_up_after(&self, at: Timestamp) -> bool {
+        self.last_sign_of_life >= at
     }
 
-    /// Notes that it was up at `at`.
-    pub(super) fn was_up(&mut self, at: Timestamp) {
-        self.last_sign = self.last_sign.max(at);
+    /// Records that it was up at `at`.
+    pub(super) fn record_up(&mut self, at: Timestamp) {
+        self.last_sign_of_life = self.last_sign_of_life.max(at);
     }
 
-    /// Notes its answer to the hold sent at `sent`. An answer to one that did not wait there was given
-    /// at once, and may have been slow on its way.
-    pub(super) fn answered_hold(&mut self, sent: Timestamp, now: Timestamp) {
+    /// Records its answer to the hold sent at `sent` as a sign of life. An answer to a hold without
+    /// a wait was given at once and may have been delayed on the network, so it only shows that the
+    /// minion was up at `sent`.
+    pub(super) fn record_hold_answer(&mut self, sent: Timestamp, now: Timestamp) {
         let waited = matches!(self.hold, HoldState::Waiting(wait) if !wait.is_zero());
-        self.was_up(if waited { now } else { sent });
+        self.record_up(if waited { now } else { sent });
     }
 
-    /// Whether it is known to have been down by `at`. One that brings nothing may be cut off as well.
+    /// Whether it is known to have been down by `at`. Calls without any reaction do not count: the
+    /// minion may be cut off instead.
     pub(super) fn was_down_by(&self, at: Timestamp) -> bool {
         self.down_by.is_some_and(|down| down <= at)
     }
 
-    /// Notes that a call sent at `sent` brought no answer.
-    pub(super) fn failed_call(&mut self, sent: Timestamp, silence: Silence, now: Timestamp) {
+    /// Records that a call sent at `sent` got no answer.
+    pub(super) fn record_failed_call(&mut self, sent: Timestamp, silence: Silence, now: Timestamp) {
         if matches!(silence, Silence::Refused | Silence::Broken) {
             self.down_by.get_or_insert(now);
         }
-        // A call that had waited for a while was taken by a minion that was up until then.
-        if silence == Silence::Broken && now >= sent + TAKEN {
-            self.was_up(now);
+        // A connection that broke only after a while had been accepted, so the minion was up until
+        // now.
+        if silence == Silence::Broken && now >= sent + ACCEPTED_AFTER {
+            self.record_up(now);
         }
     }
 
-    /// Notes an order sent at `sent` that brought no answer. Until a later one does, the minion
-    /// gets no new work: a hold takes half a second and more to show that a minion is cut off, and
-    /// hundreds of tasks were placed on such minions meanwhile, each to wait for its four tries.
-    pub(super) fn left_unanswered(&mut self, sent: Timestamp) {
+    /// Records an order sent at `sent` that got no answer. Until a later one is answered, the
+    /// minion gets no new work: a hold takes 0.5 s and more to show that a minion is cut off, and
+    /// hundreds of tasks were placed on such minions meanwhile, each waiting for its four start
+    /// tries.
+    pub(super) fn record_unanswered(&mut self, sent: Timestamp) {
         self.unanswered = self.unanswered.max(Some(sent));
     }
 
-    /// Deadline that lies at least `span` ahead; none before the first reading of the clock.
+    /// Deadline on the minion's clock, at least `span` from now; `None` before the first clock
+    /// reading.
     pub(super) fn deadline(&self, now: Timestamp, span: Duration) -> Option<Duration> {
-        // Whole milliseconds travel.
-        let exact = self.clock?.latest(now) + span;
-        Some(Duration::from_millis(exact.as_millis() as u64))
+        // Deadlines are sent in whole milliseconds.
+        let deadline = self.clock?.latest(now) + span;
+        Some(Duration::from_millis(deadline.as_millis() as u64))
     }
 
-    /// Deadline of a lease of at most `span` from now; none before the first reading of the clock.
+    /// Deadline on the minion's clock of a lease of at most `span` from now; `None` before the
+    /// first clock reading.
     ///
-    /// Reckoned from the least that the clock may show. An answer that waited 2 s for an end leaves
-    /// the clock uncertain by as much; reckoned from the most, a lease of 10 s was waited for 12 s
-    /// after its minion had crashed.
+    /// Computed from the lower bound of the clock. An answer that waited 2 s for an end leaves the
+    /// clock uncertain by as much; computed from the upper bound, a lease of 10 s took 12 s to
+    /// expire after its minion had crashed.
     pub(super) fn lease_deadline(&self, now: Timestamp, span: Duration) -> Option<Duration> {
-        let least = self.clock?.earliest(now) + span;
-        Some(Duration::from_millis(least.as_millis() as u64))
+        let deadline = self.clock?.earliest(now) + span;
+        Some(Duration::from_millis(deadline.as_millis() as u64))
     }
 
-    /// Whether the minion's clock has passed `deadline` for sure.
+    /// Whether the minion's clock has certainly passed `deadline`.
     pub(super) fn is_past(&self, deadline: Duration, now: Timestamp) -> bool {
         self.clock.is_some_and(|c| c.earliest(now) > deadline)
     }
 
-    /// Whether everything that any leader ever let it run is over for sure.
+    /// Whether all leases that any leader granted it are certainly over.
     ///
-    /// A silent minion may run on until its lease ends. Starting its tasks elsewhere before that
-    /// would run them twice. Deadlines are absolute on its own clock, so orders that are carried
-    /// out late add nothing; only the clock's slowest rate has to be allowed for. Leases are never
-    /// shortened, so one that an earlier leader gave counts also when a later one gave a shorter.
+    /// A silent minion may continue its runs until its lease ends. Starting their tasks elsewhere
+    /// before that would run them twice. Deadlines are absolute on its own clock, so orders carried
+    /// out late extend nothing; only the clock's slowest rate must be allowed for. Leases are never
+    /// shortened, so one granted by an earlier leader counts even if a later leader granted a
+    /// shorter one.
     pub(super) fn lease_over(&self, now: Timestamp) -> bool {
         let own = self.lease.is_zero() || self.is_past(self.lease, now);
         own && now > self.assumed_until
@@ -366,57 +381,59 @@
         self.report.capacity.saturating_sub(&self.used)
     }
 
-    /// Whether it should be held at all.
+    /// Whether holds should be sent to it at all: it may hold runs, or its state is uncertain.
     pub(super) fn wants_hold(&self) -> bool {
-        let in_doubt = !self.fenced || self.presence != Presence::Here || !self.answers();
+        let in_doubt = !self.fenced || self.presence != Presence::Present || !self.answers();
         self.is_busy() || (in_doubt && !self.foreign)
     }
 
-    /// Whether a hold may be due, or it may have to be given up.
-    pub(super) fn needs_tending(&self, now: Timestamp) -> bool {
+    /// Whether a hold may be due, or its runs may have to be ended.
+    pub(super) fn needs_maintenance(&self, now: Timestamp) -> bool {
         let due = matches!(self.hold, HoldState::Due(at) if now >= at);
         self.silent_calls > 0 || (due && self.wants_hold())
     }
 
-    /// Whether its last order brought an answer.
+    /// Whether its latest hold and order were answered or are still pending.
     pub(super) fn answers(&self) -> bool {
         self.silent_calls == 0 && self.unanswered.is_none()
     }
 
-    /// Whether new work may be given to it now.
+    /// Whether it may get new work now.
     pub(super) fn takes_work(&self, now: Timestamp) -> bool {
         let sound = self.answers() && now >= self.avoid_until;
         self.fenced && self.stays() && !self.foreign && !self.unreported && sound
     }
 
-    /// Notes a start that brought no answer by `now`.
-    pub(super) fn left_unsettled(&mut self, start: UnsettledStart, now: Timestamp) {
+    /// Records a start that got no answer by `now`, and drops those that can no longer be carried
+    /// out.
+    pub(super) fn record_unsettled(&mut self, start: UnsettledStart, now: Timestamp) {
         self.unsettled.retain(|start| start.may_come(now));
         self.unsettled.push(start);
     }
 
-    /// Whether a minion of its name that started then is another incarnation.
-    pub(super) fn is_other(&self, started: Timestamp) -> bool {
+    /// Whether a minion with its id that started at `started` is another incarnation.
+    pub(super) fn is_other_incarnation(&self, started: Timestamp) -> bool {
         self.report.started.is_some_and(|known| known != started)
     }
 
-    /// Whether nothing tells of its end.
+    /// Whether there is no sign that it drains, ends or has been replaced.
     pub(super) fn stays(&self) -> bool {
-        !self.draining && self.presence == Presence::Here
+        !self.draining && self.presence == Presence::Present
     }
 
-    /// Notes a failed run or a refusal. A minion on which several in a row fail gets no work for
-    /// a while that doubles, so that one that fails everything does not eat up the attempts of
-    /// every task; a single failure is usually the task's own.
+    /// Records a failed run or a refused start. After several in a row the minion gets no new work
+    /// for a time that doubles with each, up to eight times `AVOID_MIN`, so that a minion that
+    /// fails everything does not use up the attempts of every task. A single failure is usually
+    /// caused by the task.
     pub(super) fn failed(&mut self, now: Timestamp) {
         self.failures += 1;
-        if self.failures >= FAILURES_TOLERATED {
-            let doubled = (self.failures - FAILURES_TOLERATED).min(3);
-            self.avoid_until = now + AVOID * 2_u32.pow(doubled);
+        if self.failures >= AVOID_FROM_FAILURES {
+            let doubled = (self.failures - AVOID_FROM_FAILURES).min(3);
+            self.avoid_until = now + AVOID_MIN * 2_u32.pow(doubled);
         }
     }
 
-    /// Notes a run that ended well.
+    /// Records a run that succeeded.
     pub(super) fn succeeded(&mut self) {
         self.failures = 0;
         self.avoid_until = Timestamp::ZERO;
@@ -426,7 +443,7 @@
         self.report.labels.iter().any(|l| l == label)
     }
 
-    /// Whether it holds, or may hold, anything of ours.
+    /// Whether it has, or may have, runs or unacknowledged ends.
     pub(super) fn is_busy(&self) -> bool {
         !self.runs.is_empty() || !self.strays.is_empty() || self.seen_end > self.acked_end
     }
