--- a/tests/batch_advice.rs
+++ b/tests/batch_advice.rs
@@ -1,4 +1,4 @@
-//! Questions to the policy service, and tasks that wait for its tickets.
+//! Questions to the policy service, and placement of tasks that need its tickets.
 
 mod batch_world;
 
@@ -8,6 +8,7 @@
 use yuccahold::batch::model::{AdviceTerms, EndKind, Queue, StepSpec};
 use yuccahold::ids::MinionId;
 
+/// A queue whose tasks need tickets of the policy service.
 fn advised_queue() -> Queue {
     Queue {
         advice: Some(AdviceTerms {
@@ -19,8 +20,8 @@
     }
 }
 
-/// Says yes to everyone who is asked about.
-fn allow(world: &mut World, question: &AdviceQuestion) {
+/// Answers a question by allowing all minions that it names.
+fn allow_all(world: &mut World, question: &AdviceQuestion) {
     let good = question
         .minions
         .iter()
@@ -32,10 +33,10 @@
     world.decide();
 }
 
-/// A service runs one task on each of eight minions, and one of these leaves. The others have the
-/// most room, but may take no second task, and a question takes a fifth of a ticket's validity.
-/// Asking about them in turn would leave the task waiting for ever, although a ninth minion that
-/// is known to be good has room.
+/// A step with at most one task per minion runs on eight minions, and one of them leaves. The
+/// others have the most room but can take no second task. If questions named them again and again,
+/// each taking a fifth of a ticket's validity, the task would wait forever, although a ninth minion
+/// that the policy allows has room.
 #[test]
 fn minions_with_their_share_of_a_step_do_not_hide_the_others() {
     let mut world = World::new();
@@ -47,7 +48,7 @@
     world.submit_to(JOB, advised_queue(), vec![spread]);
     let question = world.take_questions().remove(0);
     assert_eq!(question.minions.len(), 9);
-    allow(&mut world, &question);
+    allow_all(&mut world, &question);
     let mut starts = world.start_all();
     assert!(starts.iter().all(|(m, _)| *m != ninth));
     let other = StepSpec {
@@ -74,7 +75,7 @@
             answer_holds(&mut world, &starts);
         }
         for question in questions {
-            allow(&mut world, &question);
+            allow_all(&mut world, &question);
         }
         let new = world.start_all();
         restarted.extend(new.iter().map(|(m, _)| *m));
@@ -83,6 +84,7 @@
     assert_eq!(restarted, [ninth]);
 }
 
+/// Answers all holds; each minion lists those of `starts` that it was given.
 fn answer_holds(world: &mut World, starts: &[(u32, StartOrder)]) {
     for (minion, _) in world.take_holds() {
         let running = starts.iter().filter(|(m, _)| *m == minion);
@@ -100,9 +102,9 @@
     }
 }
 
-/// Callers cancel jobs while the policy service is being asked about them. The answers come to
-/// nobody; they must not count as on the way for ever, or no step would be asked about any more
-/// and all work with a policy would stand still.
+/// Jobs are cancelled while questions about them are pending. These questions must stop counting
+/// against the limit; otherwise no further question would be sent and no work with a policy would
+/// start.
 #[test]
 fn questions_about_cancelled_jobs_do_not_pile_up() {
     let mut world = World::new();
@@ -122,9 +124,9 @@
     assert_eq!(asked, [JOB]);
 }
 
-/// One task of a long step is left, and the cell is large and busy. A question costs as much as
-/// naming 70 minions. Naming just as many as the task needs would bring one ticket or none, whose
-/// room is gone by then, and the whole job would wait for its last task.
+/// One task of a long step is left in a large, busy cell. A question by itself costs as much as
+/// naming 70 minions. One that names only as many as the task needs would yield at most one ticket,
+/// whose room may be gone by then, and the whole job would wait for its last task.
 #[test]
 fn a_step_with_one_task_left_asks_about_many_minions() {
     let mut world = World::new();
@@ -133,7 +135,7 @@
     let question = world.take_questions().remove(0);
     assert_eq!(question.minions.len(), 30);
 
-    // None of those may run it, and the others have no room just now.
+    // The policy forbids all of those, and the others have no room at the moment.
     world.submit(JOB + 1, vec![lasting(60, 32_000)]);
     world.start_all();
     let nobody = Advice { good: Vec::new() };
@@ -143,10 +145,9 @@
     assert_eq!(question.minions.len(), 30);
 }
 
-/// A check has a ticket for a minion that is full of work which saves its progress. Another
-/// minion has room, and nobody has asked about it yet. To ask takes a tenth of a second; to stop
-/// a run takes longer and makes its job late. Only when nobody with room may run the check is the
-/// run stopped.
+/// A check has a ticket for a minion that is full of runs with checkpoints. Another minion has room
+/// but was not asked about yet. A question takes 0.1 s; preempting a run takes longer and delays
+/// its job. The run may be preempted only once the policy forbids all minions with room.
 #[test]
 fn nothing_is_stopped_while_a_ticket_would_do() {
     let mut world = World::new();
@@ -156,7 +157,7 @@
     world.submit_to(JOB, advised_queue(), vec![step(1, 1_000)]);
     let question = world.take_questions().remove(0);
     world.join("i-free", 2);
-    allow(&mut world, &question);
+    allow_all(&mut world, &question);
     world.pass(ms(200));
     let questions = world.take_questions();
     let asked: Vec<_> = questions.iter().map(|q| q.minions.clone()).collect();
@@ -170,17 +171,17 @@
     assert_eq!(world.take_stops().len(), 1);
 }
 
-/// A question is not answered for four seconds, since its asker is cut off, so another one names
-/// other minions. Then the answer to the first one comes. Taken for an answer to the second, it
-/// would say that none of the minions named there may run the step: they would never be asked about
-/// again, and the job would wait for ever in an empty cell.
+/// A question is not answered for 4 s, as its agent is cut off, so a second one names other
+/// minions. Then the answer to the first one arrives. Matched to the second question, it would mark
+/// all minions named there as forbidden: they would never be asked about again, and the job would
+/// wait forever in an empty cell.
 #[test]
 fn a_late_answer_is_not_taken_for_one_to_a_later_question() {
     let mut world = World::new();
     world.join_all("i", 0..30);
     world.submit_to(JOB, advised_queue(), vec![lasting(1, 1_000)]);
     let first = world.take_questions().remove(0);
-    // The minions named there get other work, and others join.
+    // The minions named in the first question are filled, and others join.
     world.submit(JOB + 1, vec![lasting(30, 32_000)]);
     world.start_all();
     world.join_all("i", 30..60);
@@ -188,15 +189,15 @@
     let second = world.take_questions().remove(0);
     assert!(second.minions.iter().all(|m| !first.minions.contains(m)));
 
-    allow(&mut world, &first);
-    allow(&mut world, &second);
+    allow_all(&mut world, &first);
+    allow_all(&mut world, &second);
     let started = world.start_all();
     assert_eq!(started.len(), 1);
 }
 
-/// Four questions are lost together, as all askers are cut off, and that is as many as may be on the
-/// way at once. They must not count as on the way for good: no step would be asked about again, and
-/// jobs with room for them would wait until the next change of leader.
+/// Four questions, the limit of pending ones, are lost together as all agents are cut off. They
+/// must not count against the limit for good: no question would be sent again, and jobs with room
+/// for them would wait until the next change of leader.
 #[test]
 fn questions_that_are_lost_together_are_asked_again() {
     let mut world = World::new();
@@ -217,7 +218,8 @@
     assert!(!world.take_questions().is_empty());
 }
 
-/// Questions that are on the way together name different minions while there is room for all.
+/// Questions that are pending at the same time name different minions while there is room for all.
+/// Otherwise the first answer would use the room, and the tickets of the others would be useless.
 #[test]
 fn checks_that_come_together_do_not_ask_for_the_same_room() {
     let mut world = World::new();
@@ -233,14 +235,15 @@
     }
     assert_eq!(questions.len(), 10);
     for question in &questions {
-        allow(&mut world, question);
+        allow_all(&mut world, question);
     }
     assert_eq!(world.take_starts().len(), 100);
     world.pass(ms(100));
     assert_eq!(world.take_questions().len(), 0);
 }
 
-/// Tickets for room that would have to be made are of no use while there is room elsewhere.
+/// Minions with free room are named first: tickets for minions where runs would have to be
+/// preempted are useless while there is room elsewhere.
 #[test]
 fn a_question_names_minions_with_room_before_those_where_others_would_have_to_be_stopped() {
     let mut world = World::new();
@@ -256,7 +259,7 @@
     let question = world.take_questions().remove(0);
     let free = |m: &MinionId| m.starts_with("i-free");
     assert_eq!(question.minions.iter().filter(|m| free(m)).count(), 30);
-    allow(&mut world, &question);
+    allow_all(&mut world, &question);
     assert_eq!(world.take_starts().len(), 7);
     assert_eq!(world.take_stops().len(), 0);
 }
--- a/tests/batch_agents.rs
+++ b/tests/batch_agents.rs
@@ -1,4 +1,4 @@
-//! Agents: who sends which orders on the leader's behalf.
+//! Agents, which send the leader's orders to minions: how orders are distributed among them.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     rx
 }
 
-/// Holds every minion once; gives the number of orders of each agent.
+/// Sends one hold to each minion; returns the number of orders that each agent received.
 fn hold_all(
     agents: &Agents,
     channels: &mut BTreeMap<AgentId, UnboundedReceiver<Down>>,
@@ -58,9 +58,9 @@
     taken.collect()
 }
 
-/// A leader that has just begun is found by a few agents first. They get all minions, as somebody
-/// has to call them. Once the others are there, each takes its share: agents that kept all orders
-/// would fill their links, and starts would bring no answer in time.
+/// Only a few agents are connected to a new leader at first, and they get the orders for all
+/// minions. Once the others connect, orders must be spread over all agents: if the first ones kept
+/// all orders, their links would saturate and starts would not be answered in time.
 #[test]
 fn agents_that_come_later_take_their_share() {
     let agents = Agents::default();
@@ -72,23 +72,23 @@
     }
     let all = hold_all(&agents, &mut channels);
     assert_eq!(all.values().sum::<usize>(), MINIONS as usize);
-    // A fair share is ten; drawn ranks spread by a few.
+    // The average is ten; ranking by hash deviates from it by a few.
     let most = all.values().max().copied();
     assert!(most <= Some(20), "{all:?}");
 }
 
-/// An agent in another zone is asked only while the minion's zone has none.
+/// Agents in another availability zone get orders only while the minion's own zone has no agent.
 #[test]
 fn agents_in_the_minions_zone_come_first() {
     let agents = Agents::default();
     let mut channels =
         BTreeMap::from([(1, add(&agents, 1, "aarau")), (2, add(&agents, 2, "olten"))]);
-    let apart = hold_all(&agents, &mut channels);
+    let without_local = hold_all(&agents, &mut channels);
     channels.insert(3, add(&agents, 3, "mixco"));
-    let beside = hold_all(&agents, &mut channels);
-    assert_eq!(apart.values().sum::<usize>(), MINIONS as usize);
+    let with_local = hold_all(&agents, &mut channels);
+    assert_eq!(without_local.values().sum::<usize>(), MINIONS as usize);
     assert_eq!(
-        beside,
+        with_local,
         BTreeMap::from([(1, 0), (2, 0), (3, MINIONS as usize)])
     );
 }
--- a/tests/batch_capacity.rs
+++ b/tests/batch_capacity.rs
@@ -1,4 +1,4 @@
-//! Minions whose capacity shrinks and grows while they run.
+//! Minions whose capacity changes while they are up.
 
 mod batch_world;
 
@@ -9,7 +9,7 @@
 use yuccahold::batch::model::{EndKind, JobState, MinionReport};
 use yuccahold::resources::Resources;
 
-/// A report of the minion at a port, with half of its cores or with another part of them.
+/// A report of minion `i-{port}` with this sequence number and number of cores.
 fn sized(port: u16, sequence: u64, cores: u32) -> MinionReport {
     MinionReport {
         sequence,
@@ -21,28 +21,29 @@
     }
 }
 
-fn tell(world: &mut World, report: MinionReport) {
+fn deliver(world: &mut World, report: MinionReport) {
     world.leader.report(world.now, report);
     world.decide();
 }
 
-/// A minion that shrank is given no more than what is left, and all again once it has grown.
+/// A minion that shrank gets no more work than fits its new capacity, and more once it has grown.
 #[test]
 fn a_minion_that_shrank_is_not_overfilled() {
     let mut world = World::new();
     world.join("i-1", 1);
-    tell(&mut world, sized(1, 2, 16));
+    deliver(&mut world, sized(1, 2, 16));
     world.submit(JOB, vec![step(5, 5_000)]);
     let shrunk = world.start_all().len();
-    // A report that was delayed on its way says what is no longer true.
-    tell(&mut world, sized(1, 1, 32));
+    // A report that was delayed on the network has an outdated capacity.
+    deliver(&mut world, sized(1, 1, 32));
     let late = world.start_all().len();
-    tell(&mut world, sized(1, 3, 32));
+    deliver(&mut world, sized(1, 3, 32));
     let grown = world.start_all().len();
     assert_eq!((shrunk, late, grown), (3, 0, 2));
 }
 
-/// The next leader knows the size of a minion that has not reported to it yet.
+/// A new leader uses the last capacity from the ledger for a minion that has not reported to it
+/// yet.
 #[rstest]
 #[case::that_shrank(&[16], 3)]
 #[case::that_shrank_and_grew(&[16, 26], 5)]
@@ -50,7 +51,7 @@
     let mut world = World::new();
     world.join("i-1", 1);
     for (i, cores) in sizes.iter().enumerate() {
-        tell(&mut world, sized(1, 2 + i as u64, *cores));
+        deliver(&mut world, sized(1, 2 + i as u64, *cores));
     }
     world.new_leader(2);
     world.answer_first_hold_of("i-1");
@@ -58,16 +59,17 @@
     assert_eq!(world.start_all().len(), fits);
 }
 
-/// A start that waited for its agreement is not sent to a minion that no longer takes it.
+/// A start that was committed only after its minion shrank or began to drain is not sent, and the
+/// task is placed again.
 #[rstest]
 #[case::it_shrank(sized(1, 2, 16))]
 #[case::it_leaves(draining("i-1", 1))]
-fn a_start_that_was_agreed_late_is_not_sent(#[case] told: MinionReport) {
+fn a_start_that_was_agreed_late_is_not_sent(#[case] report_before_commit: MinionReport) {
     let mut world = World::new();
     world.join("i-1", 1);
     world.submit_only(JOB, vec![step(1, 20_000)]);
     let batch = world.propose_only().expect("a start");
-    world.leader.report(world.now, told);
+    world.leader.report(world.now, report_before_commit);
     world.now += ms(5_000);
     world.agree(batch);
     assert_eq!(world.take_starts().len(), 0);
@@ -79,7 +81,8 @@
     assert_eq!(world.ledger.job_state(JOB), Some(JobState::Running));
 }
 
-/// Three minions and a gang that fills them, whose starts are proposed.
+/// Three minions and a gang that fills them, with the batch of its starts, which is not committed
+/// yet.
 fn gang_proposed() -> (World, Batch) {
     let mut world = World::new();
     world.join_all("i", 1..4);
@@ -88,7 +91,8 @@
     (world, batch)
 }
 
-/// A gang of which one member cannot start is not started at all.
+/// If one member of a gang cannot start because its minion drains, none is started; otherwise the
+/// others would wait for it in vain.
 #[test]
 fn no_member_of_a_gang_starts_when_one_of_its_minions_leaves() {
     let (mut world, batch) = gang_proposed();
@@ -100,7 +104,7 @@
     assert_eq!(world.take_starts().len(), 3);
 }
 
-/// The same when a minion turns out to be another incarnation before the starts are agreed.
+/// The same if another incarnation answers for a minion before the starts are committed.
 #[test]
 fn no_member_of_a_gang_starts_when_one_of_its_minions_is_gone() {
     let (mut world, batch) = gang_proposed();
@@ -115,7 +119,8 @@
     assert_eq!(world.take_starts().len(), 3);
 }
 
-/// What is being stopped keeps its room until its minion lists the end, however small it has become.
+/// A run that is being stopped counts against its minion until the minion lists its end, also if
+/// the minion has shrunk in between.
 #[test]
 fn room_of_a_run_that_is_being_stopped_counts_on_a_minion_that_shrank() {
     let mut world = World::new();
@@ -123,7 +128,7 @@
     world.submit(JOB, vec![step(1, 12_000)]);
     let (_, run) = world.start_all().remove(0);
     world.apply(&Command::Cancel { job: JOB });
-    tell(&mut world, sized(1, 2, 16));
+    deliver(&mut world, sized(1, 2, 16));
     world.submit(JOB + 1, vec![step(1, 6_000)]);
     let clock = Some(world.now);
     let sent = world.now;
--- a/tests/batch_claims.rs
+++ b/tests/batch_claims.rs
@@ -1,4 +1,4 @@
-//! Room kept for large tasks and gangs, and what is stopped for them.
+//! Claims of room for large tasks and gangs, and preemption for them.
 
 mod batch_world;
 
@@ -11,7 +11,7 @@
 
 const ACCELERATORS: u32 = 8;
 
-fn machine(id: &str, port: u16) -> MinionReport {
+fn accelerator_minion(id: &str, port: u16) -> MinionReport {
     MinionReport {
         capacity: Resources::new(64, 128_000, ACCELERATORS),
         ..report(id, port)
@@ -54,7 +54,8 @@
     first_step(job).task(index)
 }
 
-/// Ends of the given runs, all on one minion, in the order given.
+/// Ends of runs given as job, task index and run number, on one minion, numbered upwards from
+/// `from`.
 fn ends(runs: &[(JobId, u32, u32)], from: u64, kind: EndKind) -> Vec<ListedEnd> {
     let end = |(i, (job, index, run)): (usize, &(JobId, u32, u32))| ListedEnd {
         number: from + i as u64,
@@ -66,7 +67,7 @@
     runs.iter().enumerate().map(end).collect()
 }
 
-/// Runs with run number 1 of a job, as their minion lists them.
+/// The first runs of these tasks of a job, as their minion lists them.
 fn running(job: JobId, indices: impl IntoIterator<Item = u32>) -> Vec<ListedRun> {
     let listed = |index| ListedRun {
         task: task(job, index),
@@ -85,14 +86,14 @@
         .collect()
 }
 
-/// One minion is full of small overlays when a render comes that needs all of it. The overlays
-/// would go on for so long that the render would be late, so they are stopped. Their room comes
-/// free one by one; each stopped overlay waits to go on and would fit there. The room is kept until
-/// it is whole: the render starts, and no overlay is stopped twice.
+/// A minion is full of small overlays when a render is submitted that needs all of it. The overlays
+/// would run so long that the render would be late, so they are preempted. Their room comes free
+/// piece by piece, and each preempted overlay waits to resume and would fit there. The room must
+/// stay claimed until all of it is free: the render starts, and no overlay is preempted twice.
 #[test]
 fn the_room_made_by_stopping_small_runs_is_kept_until_it_is_whole() {
     let mut world = World::new();
-    let minion = world.join_as(machine("i-1", 1));
+    let minion = world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, overlays(), vec![on_accelerators(8, 1, 20_000)]);
     assert_eq!(world.start_all().len(), 8);
     world.pass(ms(3_000));
@@ -111,30 +112,30 @@
     }
 }
 
-/// The same, but the render declares so long a time that it would be late even if it began as soon
-/// as the overlays were stopped. Stopping them would throw time away and gain nothing.
+/// The same, but the render would be late even if it started as soon as the overlays were stopped.
+/// Preempting them would waste their time and gain nothing.
 #[test]
 fn nothing_is_stopped_for_work_that_would_be_late_all_the_same() {
     let mut world = World::new();
-    world.join_as(machine("i-1", 1));
+    world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, overlays(), vec![on_accelerators(8, 1, 20_000)]);
     world.start_all();
     world.pass(ms(3_000));
-    let hurried = Queue {
+    let tight_objective = Queue {
         slo: ms(0),
         stretch: 0.85,
         ..renders()
     };
-    world.submit_to(2, hurried, vec![on_accelerators(1, 8, 4_000)]);
+    world.submit_to(2, tight_objective, vec![on_accelerators(1, 8, 4_000)]);
     world.pass(ms(100));
     assert_eq!(world.take_stops().len(), 0);
 }
 
-/// The overlays end so soon that the render can wait for them and still be in time.
+/// Nothing is preempted if the overlays end early enough for the render to be in time.
 #[test]
 fn nothing_is_stopped_where_waiting_is_soon_enough() {
     let mut world = World::new();
-    world.join_as(machine("i-1", 1));
+    world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, overlays(), vec![on_accelerators(8, 1, 5_000)]);
     world.start_all();
     world.pass(ms(3_000));
@@ -143,13 +144,13 @@
     assert_eq!(world.take_stops().len(), 0);
 }
 
-/// A render waits for the whole of a minion on which one long run is left. Overlays go on coming.
-/// Those that would end before the long run does use the idle rest; longer ones wait, as each of
-/// them would put the render off again.
+/// A render waits for all of a minion on which one long run is left, while overlays are submitted.
+/// Overlays that should end before the long run are backfilled into the idle room; longer ones
+/// wait, as each would delay the render.
 #[test]
 fn kept_room_is_used_by_work_that_ends_in_time() {
     let mut world = World::new();
-    world.join_as(machine("i-1", 1));
+    world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, renders(), vec![on_accelerators(1, 4, 6_000)]);
     world.start_all();
     world.submit_to(2, renders(), vec![on_accelerators(1, 8, 4_000)]);
@@ -158,13 +159,14 @@
     assert_eq!(jobs_of(&world.start_all()), [4, 4]);
 }
 
-/// A gang of two needs both minions whole; each is held by a run that ends at a time of its own.
-/// The one that comes free first is kept, or small work would take it before the other is free.
+/// A gang of two needs all of both minions, which run tasks that end at different times. The minion
+/// that comes free first stays claimed; otherwise small work would take it before the other is
+/// free.
 #[test]
 fn room_is_kept_for_all_members_of_a_gang() {
     let mut world = World::new();
-    let first = world.join_as(machine("i-1", 1));
-    world.join_as(machine("i-2", 2));
+    let first = world.join_as(accelerator_minion("i-1", 1));
+    world.join_as(accelerator_minion("i-2", 2));
     world.submit_to(1, renders(), vec![on_accelerators(1, 8, 2_000)]);
     let early = world.start_all();
     world.submit_to(2, renders(), vec![on_accelerators(1, 8, 5_000)]);
@@ -182,62 +184,62 @@
     assert_eq!(jobs_of(&world.start_all()), [] as [JobId; 0]);
 }
 
-/// A step that no minion can ever hold keeps no room from others.
+/// A step that fits on no minion claims no room and preempts nothing.
 #[test]
 fn a_task_larger_than_every_minion_keeps_no_room() {
     let mut world = World::new();
-    world.join_as(machine("i-1", 1));
+    world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, renders(), vec![on_accelerators(1, 9, 4_000)]);
     world.submit_to(2, overlays(), vec![on_accelerators(8, 1, 20_000)]);
     assert_eq!(world.start_all().len(), 8);
     assert_eq!(world.take_stops().len(), 0);
 }
 
-/// Two minions have room for an overlay: one with many processors and half of its accelerators given
-/// away, the other with few processors and all accelerators free. Accelerators are what this service
-/// runs short of, so the overlay goes to the first one and a render of eight still finds a whole
-/// minion.
+/// Two minions have room for an overlay: one with many cores and half of its accelerators in use,
+/// the other with few cores and all accelerators free. Accelerators are the scarce resource here,
+/// so the overlay goes to the first one, and a render that needs eight accelerators still fits on
+/// the other.
 #[test]
 fn a_small_task_leaves_the_minion_with_all_accelerators_whole() {
     let mut world = World::new();
-    world.join_as(machine("i-1", 1));
+    world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, renders(), vec![on_accelerators(1, 4, 10_000)]);
     world.start_all();
-    let whole = world.join_as(MinionReport {
+    let unused = world.join_as(MinionReport {
         capacity: Resources::new(16, 128_000, ACCELERATORS),
-        ..machine("i-2", 2)
+        ..accelerator_minion("i-2", 2)
     });
     world.submit_to(2, overlays(), vec![on_accelerators(1, 1, 10_000)]);
     world.start_all();
     world.submit_to(3, renders(), vec![on_accelerators(1, 8, 4_000)]);
     let starts = world.start_all();
-    let given: Vec<_> = starts.iter().map(|(m, s)| (*m, s.task.step.job)).collect();
-    assert_eq!(given, [(whole, 3)]);
+    let placed: Vec<_> = starts.iter().map(|(m, s)| (*m, s.task.step.job)).collect();
+    assert_eq!(placed, [(unused, 3)]);
 }
 
-/// The same for the members of a gang: they share the minion that is begun already.
+/// The same for the members of a gang: they are placed on the minion that is in use already.
 #[test]
 fn a_gang_leaves_the_minion_with_all_accelerators_whole() {
     let mut world = World::new();
-    let whole = world.join_as(machine("i-1", 1));
-    let begun = world.join_as(machine("i-2", 2));
-    let fixed = StepSpec {
+    let unused = world.join_as(accelerator_minion("i-1", 1));
+    let in_use = world.join_as(accelerator_minion("i-2", 2));
+    let labelled_step = StepSpec {
         label: Some("b".into()),
         ..on_accelerators(1, 2, 10_000)
     };
     let labelled = MinionReport {
         labels: vec!["b".into(), "r1-2".into()],
         sequence: 2,
-        ..machine("i-2", 2)
+        ..accelerator_minion("i-2", 2)
     };
     world.leader.report(world.now, labelled);
-    world.submit_to(1, renders(), vec![fixed]);
+    world.submit_to(1, renders(), vec![labelled_step]);
     world.start_all();
     let gang = StepSpec {
         grouping: Grouping::Gang,
         ..on_accelerators(3, 2, 4_000)
     };
     world.submit_to(2, renders(), vec![gang]);
-    let given: Vec<_> = world.start_all().iter().map(|(m, _)| *m).collect();
-    assert_eq!((given, whole != begun), (vec![begun; 3], true));
+    let placed: Vec<_> = world.start_all().iter().map(|(m, _)| *m).collect();
+    assert_eq!((placed, unused != in_use), (vec![in_use; 3], true));
 }
--- a/tests/batch_crashes.rs
+++ b/tests/batch_crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash the minions that start them, and tasks that only ran beside them.
+//! Tasks that crash the minions that start them, and tasks that only ran on the same minions.
 
 mod batch_world;
 
@@ -11,12 +11,14 @@
 use rstest::rstest;
 use yuccahold::batch::model::{JobId, JobState};
 
-/// Starts of a task after which it must have been given up, where three minions have crashed.
+/// Most starts of a task that is given up because minions crashed under it. Not every crash can be
+/// attributed, so there may be more starts than `MOST_CRASHES`.
 const MOST_STARTS: u32 = 5;
-/// Crashes that a task may cost.
+/// Most crashes that a task may cause before it is given up.
 const MOST_CRASHES: u32 = 3;
 
-/// A task that crashes its minion is given up, whatever is known of each crash.
+/// A task that crashes its minions is given up, however much or little the leader learns about each
+/// crash.
 #[rstest]
 #[case::its_start_is_answered(StartAnswer::Delivered, ms(0), ms(3_000), MOST_CRASHES)]
 #[case::the_answer_is_lost(StartAnswer::Lost, ms(0), ms(3_000), MOST_CRASHES)]
@@ -25,33 +27,33 @@
 #[case::away_for_longer_and_the_answer_is_lost(StartAnswer::Lost, ms(0), ms(9_000), MOST_STARTS)]
 fn a_task_that_crashes_its_minions_is_given_up(
     #[case] answer: StartAnswer,
-    #[case] late: Duration,
+    #[case] list_delay: Duration,
     #[case] away: Duration,
     #[case] most_crashes: u32,
 ) {
     let mut cell = Cell::new(1..9);
-    let crasher = first_step(JOB).task(0);
-    cell.crashers.insert(crasher);
+    let crashing_task = first_step(JOB).task(0);
+    cell.crashers.insert(crashing_task);
     cell.start_answer = answer;
-    cell.lists_late_by = late;
+    cell.lists_late_by = list_delay;
     cell.away = away;
     cell.submit(JOB, vec![step(1, 1_000)]);
     cell.run(ms(60_000));
     assert_eq!(cell.state(JOB), Some(JobState::Failed));
     assert!(cell.crashed <= most_crashes, "{} crashes", cell.crashed);
-    assert!(cell.starts[&crasher] <= MOST_STARTS);
+    assert!(cell.starts[&crashing_task] <= MOST_STARTS);
     assert_eq!(cell.broken, [""; 0]);
 }
 
-/// Crashes are counted across leaders, also those that happen between two of them.
+/// Crashes are counted across changes of leader, including crashes that no leader observes.
 #[rstest]
 #[case::after_the_crash(ms(50))]
 #[case::while_the_minion_is_away(ms(1_500))]
 #[case::after_the_crash_is_proved(ms(3_400))]
 fn a_task_that_crashes_its_minions_is_given_up_by_changing_leaders(#[case] after: Duration) {
     let mut cell = Cell::new(1..9);
-    let crasher = first_step(JOB).task(0);
-    cell.crashers.insert(crasher);
+    let crashing_task = first_step(JOB).task(0);
+    cell.crashers.insert(crashing_task);
     cell.submit(JOB, vec![step(1, 1_000)]);
     for crashes in 1..=MOST_CRASHES {
         cell.run_until("a crash or the end of the job", |cell| {
@@ -62,19 +64,19 @@
     }
     cell.run(ms(60_000));
     assert_eq!(cell.state(JOB), Some(JobState::Failed));
-    assert!(cell.starts[&crasher] <= MOST_STARTS);
+    assert!(cell.starts[&crashing_task] <= MOST_STARTS);
     assert_eq!(cell.broken, [""; 0]);
 }
 
-/// Tasks that start beside one that crashes its minion are not taken for it.
+/// Tasks that start on the same minion as one that crashes it are not blamed for the crash.
 #[rstest]
 #[case::its_start_is_answered(StartAnswer::Delivered)]
 #[case::the_answer_is_lost(StartAnswer::Lost)]
 fn tasks_beside_one_that_crashes_its_minion_are_done(#[case] answer: StartAnswer) {
     let mut cell = Cell::new(1..5);
     cell.start_answer = answer;
-    // Each job fills a quarter of a minion, so the five tasks of the crasher's step share theirs with
-    // those of other jobs.
+    // Each job fills a quarter of a minion, so the five tasks of the crashing task's step run
+    // beside tasks of other jobs.
     let others: Vec<JobId> = (1..=12).map(|i| JOB + i).collect();
     cell.crashers.insert(first_step(JOB).task(2));
     cell.submit(JOB, vec![step(5, 1_000)]);
@@ -89,7 +91,7 @@
     assert_eq!(cell.broken, [""; 0]);
 }
 
-/// Several tasks that crash their minions are told apart from those that run beside them.
+/// Two tasks that crash their minions are identified among the tasks that run beside them.
 #[test]
 fn two_crashing_tasks_and_their_neighbours_are_told_apart() {
     let mut cell = Cell::new(1..9);
@@ -107,26 +109,26 @@
     assert_eq!(ends(&crashing), [Some(JobState::Failed); 2]);
     assert_eq!(ends(&others), [Some(JobState::Done); 11]);
     for job in crashing {
-        let crasher = first_step(job).task(0);
-        assert!(cell.crashes[&crasher] <= MOST_CRASHES);
-        assert!(cell.starts[&crasher] <= MOST_STARTS);
+        let crashing_task = first_step(job).task(0);
+        assert!(cell.crashes[&crashing_task] <= MOST_CRASHES);
+        assert!(cell.starts[&crashing_task] <= MOST_STARTS);
     }
     assert_eq!(cell.broken, [""; 0]);
 }
 
-/// A gang with a member that crashes its minion is given up like a single task.
+/// A gang with a member that crashes its minions is given up like a single task.
 #[test]
 fn a_gang_with_a_member_that_crashes_its_minion_is_given_up() {
     let mut cell = Cell::new(1..9);
-    let crasher = first_step(JOB).task(3);
-    cell.crashers.insert(crasher);
+    let crashing_task = first_step(JOB).task(3);
+    cell.crashers.insert(crashing_task);
     cell.submit(JOB, vec![gang(8, 10_000)]);
     cell.run(ms(60_000));
     assert_eq!(cell.state(JOB), Some(JobState::Failed));
-    assert!(cell.starts[&crasher] <= MOST_STARTS);
+    assert!(cell.starts[&crashing_task] <= MOST_STARTS);
 }
 
-/// A lasting task is kept, however many minions crash under it long after they started it.
+/// A lasting task is not given up, however many of its minions crash long after they started it.
 #[test]
 fn a_lasting_task_outlives_minions_that_crash_for_other_reasons() {
     let mut cell = Cell::new(1..5);
@@ -142,7 +144,7 @@
     assert_eq!(cell.broken, [""; 0]);
 }
 
-/// A lasting task that crashes the minions that start it is given up like any other.
+/// A lasting task that crashes the minions that start it is given up like a finite one.
 #[test]
 fn a_lasting_task_that_crashes_its_minions_is_given_up() {
     let mut cell = Cell::new(1..5);
@@ -153,21 +155,24 @@
     assert!(cell.crashed <= MOST_CRASHES, "{} crashes", cell.crashed);
 }
 
-/// Whatever crashes when, no task is given up without cause, and none is started for ever.
+/// With random crashes, leader changes and delays, no task is given up without cause, and no
+/// crashing task is restarted forever.
 #[test]
 fn crashes_at_random_are_blamed_on_tasks_that_they_happened_under() {
     for seed in 1..=40 {
-        play_crashes(seed);
+        check_random_crashes(seed);
     }
 }
 
-/// The bound on starts holds while leaders change every few seconds.
+/// The bound on starts holds while the leader changes every few seconds.
 #[test]
 fn a_task_that_crashes_its_minions_is_bounded_by_leaders_that_follow_fast() {
-    play_crashes(265);
+    check_random_crashes(265);
 }
 
-fn play_crashes(seed: u64) {
+/// Runs 30 jobs, a tenth of which crash their minions, with random faults, and checks how each
+/// ends.
+fn check_random_crashes(seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut cell = Cell::new(1..11);
     let mut term = 1;
@@ -202,13 +207,14 @@
             cell.assert_done_or_given_up(*job, seed);
         }
     }
-    let too_many = cell.starts_too_many.iter();
-    let too_many = too_many.filter(|(task, _)| cell.crashers.contains(task));
-    let most = too_many.map(|(_, n)| n).max();
+    let excess_starts = cell.starts_too_many.iter();
+    let excess_starts = excess_starts.filter(|(task, _)| cell.crashers.contains(task));
+    let most = excess_starts.map(|(_, n)| n).max();
     assert!(most <= Some(&2), "seed {seed}: {:?}", cell.starts_too_many);
 }
 
-/// A run that has worked for a while is not suspected, though no answer has said so since it began.
+/// A run that was running for a while when its minion's connection broke is not suspected, although
+/// its start is the last answer that the minion gave.
 #[test]
 fn a_run_that_worked_until_the_connection_broke_is_not_suspected() {
     let mut cell = Cell::new(1..3);
