--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -226,7 +226,8 @@
     /// Drops questions that were not answered in time, for all steps.
     ///
     /// If each step dropped only its own question, and only when it could ask again, questions lost
-    /// together would use up the limit for good and no step with a policy would be placed any more.
+    /// together would use up the limit permanently and no step with a policy would be placed any
+    /// more.
     fn expire_lost_questions(&mut self, now: Timestamp) {
         while let Some(question) = self.questions.take_older(now, QUESTION_TIMEOUT) {
             let knowledge = self.knowledge.get_mut(&question.step);
@@ -315,8 +316,8 @@
     /// Handles the answer to a question; `None` if the call failed.
     ///
     /// A late answer to an expired question is ignored. Matched to the next question, it would mark
-    /// minions that only the next one names as forbidden for good: with agents cut off for 4 s, a
-    /// gang of 45 in a half-empty cell was never asked about again.
+    /// minions that only the next one names as permanently forbidden: with agents cut off for 4 s,
+    /// a gang of 45 in a half-empty cell was never asked about again.
     pub fn advised(&mut self, now: Timestamp, question: QuestionId, advice: Option<Advice>) {
         let id = question.step;
         let step = self.ready.get(&id).or_else(|| self.coming.get(&id));
--- a/src/batch/dispatch/holds.rs
+++ b/src/batch/dispatch/holds.rs
@@ -27,8 +27,8 @@
 /// Margin subtracted from the longest lease, as the minion's clock was read up to a round trip ago.
 const LEASE_RESERVE: Duration = Duration::from_millis(200);
 /// Lease of a minion that has announced that it leaves. It will end soon, and its last message may
-/// be lost or arrive while there is no leader; with a full lease of 10 s its lasting tasks were
-/// then down for all of it. A lost answer shows only after up to 1.5 s, and the repeated hold
+/// be lost with a leader or arrive while there is none; with a full lease of 10 s its lasting tasks
+/// were then down for all of it. A lost answer shows only after up to 1.5 s, and the repeated hold
 /// grants no lease, so holds to such minions wait `HOLD_WAIT_SHORT`: with waits of 2 s, one lost
 /// hold let all runs there lapse.
 pub(super) const LEAVING_LEASE: Duration = Duration::from_secs(4);
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Removes an incarnation that is gone for good and ends its runs. A call sent at `sent` showed
+    /// Removes an incarnation that is gone and ends its runs. A call sent at `sent` showed
     /// that it is gone.
     pub(super) fn minion_gone(
         &mut self,
--- a/src/batch/dispatch/minion.rs
+++ b/src/batch/dispatch/minion.rs
@@ -228,7 +228,7 @@
     /// Records that it answered a call sent at `sent`, so it was not displaced at an earlier time.
     ///
     /// A delayed report of a crashed incarnation can name the address of its successor. Without
-    /// this, the successor would count as displaced and get no work for good.
+    /// this, the successor would count as displaced permanently and get no more work.
     pub(super) fn confirm_presence(&mut self, sent: Timestamp) {
         if matches!(self.presence, Presence::Displaced(at) if sent >= at) {
             self.presence = Presence::Present;
