--- a/tests/batch_advice.rs
+++ b/tests/batch_advice.rs
@@ -38,7 +38,7 @@
 /// each taking a fifth of a ticket's validity, the task would wait forever, although a ninth minion
 /// that the policy allows has room.
 #[test]
-fn minions_with_their_share_of_a_step_do_not_hide_the_others() {
+fn questions_skip_minions_at_their_limit_of_a_step() {
     let mut world = World::new();
     let spread = one_each(8, 1_000);
     world.join_all("i", 0..8);
@@ -196,8 +196,8 @@
 }
 
 /// Four questions, the limit of pending ones, are lost together as all agents are cut off. They
-/// must not count against the limit for good: no question would be sent again, and jobs with room
-/// for them would wait until the next change of leader.
+/// must not count against the limit permanently: no question would be sent again, and jobs with
+/// room for them would wait until the next change of leader.
 #[test]
 fn questions_that_are_lost_together_are_asked_again() {
     let mut world = World::new();
--- a/tests/batch_capacity.rs
+++ b/tests/batch_capacity.rs
@@ -47,7 +47,7 @@
 #[rstest]
 #[case::that_shrank(&[16], 3)]
 #[case::that_shrank_and_grew(&[16, 26], 5)]
-fn the_next_leader_knows_a_minion(#[case] sizes: &[u32], #[case] fits: usize) {
+fn a_new_leader_uses_the_last_reported_capacity(#[case] sizes: &[u32], #[case] fits: usize) {
     let mut world = World::new();
     world.join("i-1", 1);
     for (i, cores) in sizes.iter().enumerate() {
@@ -64,7 +64,7 @@
 #[rstest]
 #[case::it_shrank(sized(1, 2, 16))]
 #[case::it_leaves(draining("i-1", 1))]
-fn a_start_that_was_agreed_late_is_not_sent(#[case] report_before_commit: MinionReport) {
+fn a_start_that_was_committed_late_is_not_sent(#[case] report_before_commit: MinionReport) {
     let mut world = World::new();
     world.join("i-1", 1);
     world.submit_only(JOB, vec![step(1, 20_000)]);
--- a/tests/batch_claims.rs
+++ b/tests/batch_claims.rs
@@ -91,7 +91,7 @@
 /// piece by piece, and each preempted overlay waits to resume and would fit there. The room must
 /// stay claimed until all of it is free: the render starts, and no overlay is preempted twice.
 #[test]
-fn the_room_made_by_stopping_small_runs_is_kept_until_it_is_whole() {
+fn room_freed_by_preemption_stays_claimed_until_it_suffices() {
     let mut world = World::new();
     let minion = world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, overlays(), vec![on_accelerators(8, 1, 20_000)]);
@@ -148,7 +148,7 @@
 /// Overlays that should end before the long run are backfilled into the idle room; longer ones
 /// wait, as each would delay the render.
 #[test]
-fn kept_room_is_used_by_work_that_ends_in_time() {
+fn claimed_room_is_backfilled_by_work_that_ends_in_time() {
     let mut world = World::new();
     world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, renders(), vec![on_accelerators(1, 4, 6_000)]);
@@ -163,7 +163,7 @@
 /// that comes free first stays claimed; otherwise small work would take it before the other is
 /// free.
 #[test]
-fn room_is_kept_for_all_members_of_a_gang() {
+fn room_is_claimed_for_all_members_of_a_gang() {
     let mut world = World::new();
     let first = world.join_as(accelerator_minion("i-1", 1));
     world.join_as(accelerator_minion("i-2", 2));
@@ -186,7 +186,7 @@
 
 /// A step that fits on no minion claims no room and preempts nothing.
 #[test]
-fn a_task_larger_than_every_minion_keeps_no_room() {
+fn a_task_larger_than_every_minion_claims_no_room() {
     let mut world = World::new();
     world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, renders(), vec![on_accelerators(1, 9, 4_000)]);
--- a/tests/batch_crashes.rs
+++ b/tests/batch_crashes.rs
@@ -158,7 +158,7 @@
 /// With random crashes, leader changes and delays, no task is given up without cause, and no
 /// crashing task is restarted forever.
 #[test]
-fn crashes_at_random_are_blamed_on_tasks_that_they_happened_under() {
+fn random_crashes_are_attributed_to_the_crashing_tasks() {
     for seed in 1..=40 {
         check_random_crashes(seed);
     }
@@ -166,7 +166,7 @@
 
 /// The bound on starts holds while the leader changes every few seconds.
 #[test]
-fn a_task_that_crashes_its_minions_is_bounded_by_leaders_that_follow_fast() {
+fn starts_of_a_crashing_task_are_bounded_while_leaders_change_fast() {
     check_random_crashes(265);
 }
 
