--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -1,8 +1,9 @@
-//! The leader's decisions: which run goes where, what is renewed, stopped and believed.
+//! The leader's scheduler: placement of tasks, leases of minions, stops, and ends of runs.
 //!
-//! A pure state machine beside the ledger. Answers of minions and the present time go in; a
-//! batch for the log and orders come out. Nothing that starts work leaves before its batch is
-//! agreed. All of it is built anew by each leader from the ledger and from what minions list.
+//! A state machine without I/O beside the ledger. Its input is the current time and the answers of
+//! minions; its output is a batch for the log and a list of orders. An order that starts work is
+//! sent only after its batch is committed. Each new leader rebuilds this state from the ledger and
+//! from the listings of the minions.
 
 mod advice;
 mod answers;
@@ -52,34 +53,34 @@
 use ready::ReadyStep;
 use run::{Run, RunState, StopState, charged};
 
-/// Batches on the way to agreement at once. Two keep the log busy while one is synced; more
-/// would only make smaller batches.
-const MAX_BATCHES: usize = 2;
-/// Two replicas' clocks and the log's delay add to the time for which an earlier leader's lease
-/// must be assumed.
+/// Uncommitted batches at a time. Two keep the log busy while one is synced to disk; more would
+/// only make the batches smaller.
+const MAX_UNCOMMITTED_BATCHES: usize = 2;
+/// Added to the longest lease that an earlier leader may have granted, for the difference between
+/// two replicas' clocks and the delay of the log.
 const LEASE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Time within which an order that brought no answer is carried out, if it ever is.
+/// An unanswered order is not carried out any more after this time.
 const STALE_ORDERS: Duration = Duration::from_secs(5);
 
-/// Bounds of the platform that decisions depend on.
+/// Limits of the platform, and the optional mechanisms in use.
 #[derive(Clone, Debug)]
 pub struct DispatchConfig {
-    /// Longest lease a minion takes.
+    /// Longest lease that a minion accepts.
     pub lease_max: Duration,
-    /// Longest time that a stopped run goes on.
+    /// Longest time for which a run continues after its stop order.
     pub stop_time: Duration,
-    /// Time that a run needs to go on from saved progress.
+    /// Time that a run needs to resume from a checkpoint.
     pub restore_time: Duration,
-    /// Mechanisms in use.
+    /// Optional parts of the scheduler that are switched on.
     pub mechanisms: Mechanisms,
 }
 
-/// The leader's volatile state.
+/// Scheduling state of the current leader, kept in memory only.
 pub struct Dispatcher {
     cfg: DispatchConfig,
     term: Term,
-    /// When this leader's term began here.
+    /// Start of this leader's term, by the local clock.
     began: Timestamp,
     minions: BTreeMap<MinionNumber, Minion>,
     by_id: HashMap<MinionId, MinionNumber>,
@@ -89,67 +90,67 @@
     next_minion: MinionNumber,
     runs: BTreeMap<TaskId, Run>,
     ready: BTreeMap<StepId, ReadyStep>,
-    /// Steps that wait only for tasks which are all under way.
+    /// Steps whose unfinished predecessor tasks are all running.
     coming: BTreeMap<StepId, ReadyStep>,
     dirty_jobs: BTreeSet<JobId>,
     knowledge: BTreeMap<StepId, Knowledge>,
-    /// Questions on the way to the policy service.
+    /// Unanswered questions to the policy service.
     questions: questions::Questions,
-    /// When steps that were passed over are looked for again.
+    /// Time of the next search for steps that went without a question for too long.
     passed_over_at: Timestamp,
-    /// Processes that can ask.
+    /// Processes that can send questions to the policy service.
     agents: usize,
-    /// Runs that were told to stop and hold their room still.
+    /// Runs that are being stopped and still occupy their resources.
     leaving: BTreeSet<TaskId>,
-    /// Room of all minions by priority of the work, and when it was reckoned.
-    rooms: HashMap<u32, (Timestamp, prospects::Rooms)>,
-    /// How full each service is.
-    levels: scarcity::Levels,
-    /// What minions' runs should give back, and when that was reckoned.
+    /// Free resources of all minions by priority of the work, with the time of their computation.
+    availabilities: HashMap<u32, (Timestamp, prospects::Availabilities)>,
+    /// Utilization of each service.
+    utilizations: scarcity::Utilizations,
+    /// Expected releases of resources on each minion, with the time of their computation.
     releases: RefCell<HashMap<MinionNumber, (Timestamp, forecast::Releases)>>,
-    /// Limits of workspaces, and what counts against them.
+    /// Limits and usage of workspaces.
     quotas: quota::Quotas,
-    /// Jobs beyond what their workspaces may count on.
-    shares: share::Shares,
-    /// Room kept for tasks that wait, in the present round.
+    /// Jobs submitted above the weights of their workspaces.
+    shares: share::ExcessJobs,
+    /// Resources reserved for waiting tasks in the current placement round.
     claims: claims::Claims,
-    /// What the next batch will hold.
+    /// Changes collected for the next batch.
     batch: Batch,
-    /// Minions that something happened to since they were last tended.
+    /// Minions whose state changed since their last maintenance.
     touched: BTreeSet<MinionNumber>,
-    /// When all minions are looked at next.
+    /// Time of the next maintenance of all minions.
     tend_at: Timestamp,
-    /// Minions with ends that are taken and not acknowledged.
+    /// Minions with ends that were received and are not acknowledged.
     unacknowledged: BTreeSet<MinionNumber>,
-    /// Ends taken from minions, by batch on its way; they are acknowledged once it is agreed.
+    /// For each uncommitted batch, the last end received from each minion; acknowledged on commit.
     batches: VecDeque<Vec<(MinionNumber, u64)>>,
-    /// When a line about unreadable rows was last written.
+    /// Time of the last log line about unreadable rows.
     unreadable_told: Option<Timestamp>,
-    /// Something that placement depends on has changed.
+    /// Set when something that placement depends on has changed.
     place_wanted: bool,
-    /// When placement may be tried again because something changed.
+    /// Earliest next placement round after a change.
     place_not_before: Timestamp,
-    /// When placement should be tried again although nothing changed.
+    /// Next placement round without a change.
     place_at: Timestamp,
-    /// Occurrences that come due, by Unix time.
+    /// Next occurrence of each job with a timetable, by Unix time.
     timetable: BTreeSet<(Timestamp, JobId, u32)>,
-    /// When the state of the cell is told next.
+    /// Time of the next note on the state of the cell.
     census_at: Timestamp,
-    /// Highest number, which is the least urgent, among the priorities seen so far.
+    /// Highest priority number seen so far; higher numbers are less urgent.
     least_urgent: u32,
-    /// Run times over all minions.
-    speeds: speed::Common,
-    /// Run times of each queue.
+    /// Ratio of measured to declared run times over all minions.
+    speeds: speed::CommonPace,
+    /// Statistics of the run times of each queue.
     profiles: profile::Profiles,
-    /// Run times seen in steps of open jobs.
-    observed: BTreeMap<StepId, objective::Observed>,
-    /// Room of each service.
+    /// Measured run times in steps of unfinished jobs.
+    observed: BTreeMap<StepId, objective::ObservedRunTime>,
+    /// Total capacity of each service.
     capacities: objective::Capacities,
     out: Vec<Order>,
 }
 
 impl Dispatcher {
-    /// The state of a leader that has just begun.
+    /// Builds the state of a new leader from the ledger.
     pub fn new(cfg: DispatchConfig, term: Term, ledger: &Ledger, now: Timestamp) -> Self {
         let mut d = Self {
             cfg,
@@ -169,11 +170,11 @@
             passed_over_at: now,
             agents: 1,
             leaving: BTreeSet::new(),
-            rooms: HashMap::new(),
-            levels: scarcity::Levels::default(),
+            availabilities: HashMap::new(),
+            utilizations: scarcity::Utilizations::default(),
             releases: RefCell::new(HashMap::new()),
             quotas: quota::Quotas::default(),
-            shares: share::Shares::default(),
+            shares: share::ExcessJobs::default(),
             claims: claims::Claims::default(),
             batch: Batch::default(),
             touched: BTreeSet::new(),
@@ -187,13 +188,13 @@
             timetable: BTreeSet::new(),
             census_at: now,
             least_urgent: 0,
-            speeds: speed::Common::default(),
+            speeds: speed::CommonPace::default(),
             profiles: profile::Profiles::default(),
             observed: BTreeMap::new(),
             capacities: objective::Capacities::default(),
             out: Vec::new(),
         };
-        let assumed = now + longest_on_our_clock(d.cfg.lease_max);
+        let assumed = now + max_lease_on_local_clock(d.cfg.lease_max);
         for (number, record) in &ledger.minions {
             let mut minion = Minion::new(*number, record.report.clone(), now);
             minion.draining |= record.draining;
@@ -201,7 +202,7 @@
             d.add_minion(minion);
         }
         d.renew_limits(ledger);
-        d.restore_hand_ins(ledger);
+        d.restore_submissions(ledger);
         for job in ledger.jobs.values() {
             d.profiles.declared(job);
         }
@@ -217,16 +218,18 @@
         d
     }
 
-    /// Takes from when on minions are known to leave, by this replica's clock.
+    /// Shortens the leases assumed for leaving minions. `since` has the time, by this replica's
+    /// clock, from which each is known to leave.
     ///
-    /// An earlier leader that was told so gave them short leases from then on; only what it gave
-    /// before can last longer. Without this a new leader takes the longest lease for each silent
-    /// minion, and tasks of one whose last word was lost with the leader are away for all of it.
+    /// An earlier leader granted them only short leases from that time on; only a lease granted
+    /// before can last longer. Without this a new leader assumes the longest lease for each silent
+    /// minion, and the tasks of a minion whose last message was lost with the old leader are down
+    /// for all of it.
     pub fn assume_leaving(&mut self, now: Timestamp, since: &BTreeMap<MinionNumber, Timestamp>) {
-        for (number, told) in since {
+        for (number, reported) in since {
             if let Some(minion) = self.minions.get_mut(number) {
-                let before = *told + longest_on_our_clock(self.cfg.lease_max);
-                let after = now + longest_on_our_clock(holds::LEAVING_LEASE);
+                let before = *reported + max_lease_on_local_clock(self.cfg.lease_max);
+                let after = now + max_lease_on_local_clock(holds::LEAVING_LEASE);
                 minion.assumed_until = minion.assumed_until.min(before.max(after));
             }
         }
@@ -262,8 +265,8 @@
         }
     }
 
-    /// Takes a new incarnation in, and has that agreed.
-    fn join(&mut self, minion: Minion) {
+    /// Adds a new incarnation of a minion, also to the next batch.
+    fn add_incarnation(&mut self, minion: Minion) {
         let report = minion.report.clone();
         self.batch.joined.push((minion.number, report));
         self.add_minion(minion);
@@ -275,11 +278,11 @@
         self.next_minion = self.next_minion.max(minion.number + 1);
         self.by_id.insert(minion.report.id.clone(), minion.number);
         self.touched.insert(minion.number);
-        self.levels.changed();
+        self.utilizations.changed();
         self.minions.insert(minion.number, minion);
     }
 
-    /// Number of the rack that a minion stands in.
+    /// Index of a minion's rack, assigned at its first use.
     fn rack_of(&mut self, report: &MinionReport) -> usize {
         let rack = report.labels.iter().find(|l| is_rack(l));
         let rack = rack.map_or_else(String::new, ToString::to_string);
@@ -287,7 +290,7 @@
         *self.racks.entry(rack).or_insert(next)
     }
 
-    /// Forgets what is known of an incarnation that was taken out.
+    /// Drops all remaining state of an incarnation that was removed.
     fn forget_minion(&mut self, minion: &Minion) {
         if self.by_id.get(&minion.report.id) == Some(&minion.number) {
             self.by_id.remove(&minion.report.id);
@@ -303,7 +306,7 @@
         services.is_some_and(|services| !services.contains(service))
     }
 
-    /// Takes the services of a configuration that has come in force.
+    /// Applies the services of a new configuration.
     fn set_services(&mut self, config: &Configuration) {
         let services = services_of(config);
         for minion in self.minions.values_mut() {
@@ -315,7 +318,7 @@
     fn add_run(&mut self, id: TaskId, run: Run) {
         self.forget_releases(run.minion);
         self.touched.insert(run.minion);
-        self.levels.changed();
+        self.utilizations.changed();
         if let Some(minion) = self.minions.get_mut(&run.minion) {
             minion.used = minion.used.saturating_add(&run.need);
             minion.filling += run.fills;
@@ -333,7 +336,7 @@
         self.runs.insert(id, run);
     }
 
-    /// Forgets a run and frees its room.
+    /// Removes a run and releases its resources.
     fn remove_run(&mut self, id: TaskId) -> Option<Run> {
         let run = self.runs.remove(&id)?;
         self.leaving.remove(&id);
@@ -354,7 +357,7 @@
             minion.filling -= run.fills;
             minion.serving -= u32::from(run.serves);
             minion.trials -= u32::from(run.suspicion == Suspicion::Trial);
-            self.levels.changed();
+            self.utilizations.changed();
             self.place_wanted = true;
         }
     }
@@ -363,23 +366,24 @@
         self.out.push(Order::Note(Box::new(note)));
     }
 
-    /// Decides what is due; gives what should be proposed to the log. `unix` is the time of day.
+    /// Does all work that is due and returns the batch to propose to the log. `now` is monotonic
+    /// time, `unix` the time of day.
     pub fn decide(&mut self, now: Timestamp, unix: Timestamp, ledger: &Ledger) -> Option<Batch> {
         self.begin_due_occurrences(unix);
-        self.renew_capacities(now);
-        self.renew_ready(now, ledger);
+        self.refresh_capacities(now);
+        self.refresh_ready(now, ledger);
         self.tend_minions(now);
-        let may_propose = self.batches.len() < MAX_BATCHES;
+        let may_propose = self.batches.len() < MAX_UNCOMMITTED_BATCHES;
         let wanted = self.place_wanted && now >= self.place_not_before;
         if may_propose && (wanted || now >= self.place_at) {
             self.place(now, unix, ledger);
         }
         self.send_stops(now);
         self.take_census(now, unix);
-        if may_propose { self.cut_batch() } else { None }
+        if may_propose { self.take_batch() } else { None }
     }
 
-    fn cut_batch(&mut self) -> Option<Batch> {
+    fn take_batch(&mut self) -> Option<Batch> {
         let batch = std::mem::take(&mut self.batch);
         let seen = self
             .unacknowledged
@@ -397,8 +401,8 @@
         Some(batch)
     }
 
-    /// Ends are acknowledged only once they are agreed: a minion forgets what is acknowledged,
-    /// so an end that only this process knew would be lost with it and its task run again.
+    /// Acknowledges ends whose batch is committed. A minion drops acknowledged ends, so an end that
+    /// only this process had would be lost with it, and its task would run again.
     fn acknowledge(&mut self, seen: Vec<(MinionNumber, u64)>) {
         for (number, end) in seen {
             if let Some(minion) = self.minions.get_mut(&number) {
@@ -433,17 +437,17 @@
         }
     }
 
-    /// Hands out what must be done outside, in order.
+    /// Removes and returns the pending orders, oldest first.
     pub fn take_orders(&mut self) -> Vec<Order> {
         std::mem::take(&mut self.out)
     }
 
-    /// Whether something is waiting to be handed out.
+    /// Whether orders are pending.
     pub fn has_orders(&self) -> bool {
         !self.out.is_empty()
     }
 
-    /// The record of a task that waits and of which no run is tracked.
+    /// The record of a waiting task that has no tracked run.
     fn startable<'a>(&self, ledger: &'a Ledger, id: TaskId) -> Option<&'a TaskRecord> {
         let task = ledger.task(id)?;
         let waits = task.state == TaskState::Waiting && !self.runs.contains_key(&id);
@@ -451,8 +455,9 @@
     }
 }
 
-/// How long a lease of a minion may last on our clock, which another replica's may differ from.
-fn longest_on_our_clock(lease: Duration) -> Duration {
+/// Longest time on the local clock that a lease on a minion's clock can last, with the margin for a
+/// lease granted by another replica.
+fn max_lease_on_local_clock(lease: Duration) -> Duration {
     lease.mul_f64(1.0 / CLOCK_RATE) + LEASE_MARGIN
 }
 
@@ -460,7 +465,7 @@
     config.services.iter().map(|s| s.name.clone()).collect()
 }
 
-/// Racks are labels such as `r1-3`; kinds are single letters.
+/// Whether a label names a rack, such as `r1-3`; labels for the kind of minion are single letters.
 fn is_rack(label: &str) -> bool {
     label.starts_with('r') && label.contains('-')
 }
--- a/src/batch/dispatch/objective.rs
+++ b/src/batch/dispatch/objective.rs
@@ -1,4 +1,5 @@
-//! What a job's latency objective allows for, from what is known of its steps by now.
+//! Expected remaining time of a job, and the time that its latency objective allows, from the run
+//! times of its steps so far.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,20 +13,22 @@
 use crate::ids::{ServiceName, Timestamp};
 use crate::resources::Resources;
 
-/// A step that needs more than this part of its service's room, or than its workspace may run, may run
-/// in several waves, and its objective allows for them; from the platform's contract.
-const WAVE_PART: f64 = 0.25;
-/// Age up to which the room of each service is used again; minions join and leave by the second.
-const CAPACITY_KEPT: Duration = Duration::from_secs(1);
+/// A step that needs more than this share of its service's capacity, or more than the limit of its
+/// workspace, may run in several waves, and its objective allows for them; from the platform's
+/// contract.
+const WAVE_SHARE: f64 = 0.25;
+/// Age up to which the computed capacities are used again; minions join and leave every few
+/// seconds.
+const CAPACITY_MAX_AGE: Duration = Duration::from_secs(1);
 
-/// Run time of a step's tasks, from those of them that have ended well.
+/// Mean run time of the tasks of a step that have succeeded.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Observed {
+pub(super) struct ObservedRunTime {
     total: Duration,
     runs: u32,
 }
 
-impl Observed {
+impl ObservedRunTime {
     pub(super) fn learn(&mut self, seen: Duration) {
         self.total += seen;
         self.runs += 1;
@@ -36,44 +39,44 @@
     }
 }
 
-/// Room of all minions of each service, and when it was reckoned.
+/// Total capacity of the minions of each service, with the time of its computation.
 #[derive(Debug, Default)]
 pub(super) struct Capacities {
     at: Option<Timestamp>,
-    rooms: HashMap<ServiceName, Resources>,
+    by_service: HashMap<ServiceName, Resources>,
 }
 
-/// Expected times of one occurrence of a job.
-pub(super) struct Times {
-    /// Work of each step and of the longest chain of steps that wait for it.
+/// Expected times of the steps of one occurrence of a job.
+pub(super) struct ExpectedTimes {
+    /// For each step, its run time plus that of the longest chain of steps that depend on it.
     pub(super) remaining: Vec<Duration>,
-    /// The longest chain, as the objective counts it: with waves of wide steps, runs that failed,
-    /// and one question to the policy service for each step.
+    /// Run time of the longest chain as the objective counts it: including waves of wide steps,
+    /// failed runs, and one question to the policy service for each step.
     pub(super) allowed: Duration,
 }
 
 impl Dispatcher {
-    pub(super) fn renew_capacities(&mut self, now: Timestamp) {
+    pub(super) fn refresh_capacities(&mut self, now: Timestamp) {
         if self
             .capacities
             .at
-            .is_some_and(|at| now < at + CAPACITY_KEPT)
+            .is_some_and(|at| now < at + CAPACITY_MAX_AGE)
         {
             return;
         }
-        let mut rooms: HashMap<ServiceName, Resources> = HashMap::new();
+        let mut by_service: HashMap<ServiceName, Resources> = HashMap::new();
         for minion in self.minions.values() {
-            let room = rooms.entry(minion.report.service.clone()).or_default();
+            let room = by_service.entry(minion.report.service.clone()).or_default();
             *room = room.saturating_add(&minion.report.capacity);
         }
         self.capacities = Capacities {
             at: Some(now),
-            rooms,
+            by_service,
         };
     }
 
-    /// Times to reckon with for the occurrence of a job that a step belongs to.
-    pub(super) fn times(&self, job: &Job, id: StepId) -> Times {
+    /// Expected times of the occurrence that a step belongs to.
+    pub(super) fn expected_times(&self, job: &Job, id: StepId) -> ExpectedTimes {
         let steps = &job.spec.steps;
         let mut remaining = vec![Duration::ZERO; steps.len()];
         let mut allowed = vec![Duration::ZERO; steps.len()];
@@ -84,32 +87,34 @@
             };
             let takes = self.step_time(job, step_id, step);
             remaining[i] += takes;
-            allowed[i] += self.allowance(job, step_id, step, takes);
+            allowed[i] += self.allowed_time(job, step_id, step, takes);
             for before in &step.after {
                 let before = usize::from(*before);
                 remaining[before] = remaining[before].max(remaining[i]);
                 allowed[before] = allowed[before].max(allowed[i]);
             }
         }
-        Times {
+        ExpectedTimes {
             remaining,
             allowed: allowed.into_iter().max().unwrap_or_default(),
         }
     }
 
-    /// Run time of a step's tasks: as its own tasks showed it, or else as its queue lets expect.
+    /// Expected run time of a step's tasks: the mean of its own finished tasks, or else an estimate
+    /// from the statistics of its queue.
     ///
     /// Declared times are off by a factor of two and more, and tasks of one step take about the
-    /// same time. A render of four tasks that declared 0.8 s and took 2.7 s fell behind all others
-    /// with two of its tasks done, and waited for 36 s until nothing else was left.
+    /// same time. With declared times alone, a render of four tasks that declared 0.8 s and took
+    /// 2.7 s was ordered behind all other jobs with two of its tasks done, and waited for 36 s
+    /// until no other work was left.
     fn step_time(&self, job: &Job, id: StepId, step: &StepSpec) -> Duration {
         let learn = self.cfg.mechanisms.has(Mechanism::LearntTimes);
         let observed = self.observed.get(&id).filter(|_| learn);
-        let observed = observed.and_then(Observed::mean);
+        let observed = observed.and_then(ObservedRunTime::mean);
         observed.unwrap_or_else(|| self.expected_time(&job.queue.name, step.estimate))
     }
 
-    fn allowance(&self, job: &Job, id: StepId, step: &StepSpec, takes: Duration) -> Duration {
+    fn allowed_time(&self, job: &Job, id: StepId, step: &StepSpec, takes: Duration) -> Duration {
         if !self.cfg.mechanisms.has(Mechanism::Allowances) {
             return takes;
         }
@@ -122,9 +127,9 @@
         takes * (self.waves(job, step) + failed.unwrap_or(0)) + questions
     }
 
-    /// In how many waves a step may run by its objective.
+    /// Number of waves for which the objective of a step allows.
     fn waves(&self, job: &Job, step: &StepSpec) -> u32 {
-        let room = self.capacities.rooms.get(&job.queue.service);
+        let room = self.capacities.by_service.get(&job.queue.service);
         let together = step.grouping == Grouping::Gang || step.lifetime == Lifetime::Lasting;
         let Some(room) = room.filter(|_| !together) else {
             return 1;
@@ -134,7 +139,7 @@
         let own = own.map_or(0.0, |limit| {
             step.need.dominant_share(limit) * f64::from(step.count)
         });
-        let waves = (share / WAVE_PART).max(own).ceil();
+        let waves = (share / WAVE_SHARE).max(own).ceil();
         waves.clamp(1.0, f64::from(step.count.max(1))) as u32
     }
 }
--- a/src/batch/dispatch/order.rs
+++ b/src/batch/dispatch/order.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher wants done, and what comes back.
+//! Orders that the dispatcher issues, and the answers to them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,80 +11,80 @@
 use crate::batch::note::Note;
 use crate::ids::{MinionId, Term, Timestamp, ZoneName};
 
-/// Where an order goes.
+/// Recipient of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Number in the ledger.
+    /// Number of this incarnation in the ledger.
     pub minion: MinionNumber,
-    /// Incarnation meant; any other one refuses.
+    /// Identity of the incarnation; any other one refuses the order.
     pub id: MinionId,
-    /// Where it listens.
+    /// Address of its HTTP server.
     pub addr: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone that the minion reports.
     pub zone: ZoneName,
 }
 
-/// Starts a run. Idempotent by task and run.
+/// Starts a run. A repetition for the same task and run has no further effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartOrder {
-    /// The task.
+    /// Task to start.
     pub task: TaskId,
-    /// The run.
+    /// Number of this run of the task.
     pub run: RunNumber,
-    /// The caller's payload.
+    /// Opaque payload from the job's submission.
     pub payload: CompactString,
-    /// On the minion's clock: not begun later than this, and the least lease it asks for.
+    /// On the minion's clock: latest start of the run. The lease is extended to it at least.
     pub deadline: Duration,
-    /// Fencing token.
+    /// Fencing token: the leader's term. A minion refuses lower ones than it has seen.
     pub token: Term,
-    /// Progress to go on from; empty for none.
+    /// Checkpoint to resume from; empty for a start from scratch.
     pub checkpoint: Checkpoint,
-    /// Ticket of the policy service, where its queue has one.
+    /// Ticket of the policy service; `None` where the queue has no policy.
     pub ticket: Option<CompactString>,
 }
 
-/// Renews a minion's lease, acknowledges ends and asks what runs.
+/// Renews a minion's lease, acknowledges ends and requests the list of runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldOrder {
-    /// Lease on the minion's clock; none while its clock is not known.
+    /// End of the lease on the minion's clock; `None` while its clock is not known.
     pub deadline: Option<Duration>,
-    /// Fencing token.
+    /// Fencing token: the leader's term.
     pub token: Term,
-    /// Last end that is agreed.
+    /// Number of the last end that is committed; the minion drops all ends up to it.
     pub acked: u64,
-    /// How long the answer may wait for an end.
+    /// Longest time for which the minion may delay its answer to wait for a new end.
     pub wait: Duration,
 }
 
-/// An order to a minion. Each is idempotent and may be sent by any process on the leader's behalf.
+/// An order to a minion. All are idempotent, and any process may send them on the leader's behalf.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MinionOrder {
-    /// Starts a run.
+    /// Order to start a run.
     Start(Box<StartOrder>),
-    /// Stops a run.
+    /// Order to stop a run. Afterwards the minion refuses to start it.
     Stop {
-        /// The task.
+        /// Task of the run.
         task: TaskId,
-        /// The run.
+        /// Number of the run.
         run: RunNumber,
-        /// Fencing token.
+        /// Fencing token: the leader's term.
         token: Term,
     },
-    /// Holds the minion.
+    /// Order to renew the lease and to list the runs.
     Hold(HoldOrder),
 }
 
-/// What came of an order to a minion.
+/// Outcome of an order to a minion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MinionAnswer {
-    /// To a start or a stop.
+    /// Outcome of a start or a stop.
     Order(Answer),
-    /// To a hold.
+    /// Outcome of a hold.
     Hold(HoldAnswer),
 }
 
 impl MinionOrder {
-    /// The answer that stands for none of a process that should have called.
+    /// The outcome to record when the process that should have sent the order did not.
     pub fn not_called(&self) -> MinionAnswer {
         match self {
             Self::Hold(_) => MinionAnswer::Hold(HoldAnswer::Silent(Silence::NotCalled)),
@@ -93,19 +93,19 @@
     }
 }
 
-/// What an order was, for following up its answer.
+/// Kind of an order, used to match its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// A start of this run.
+    /// Start of this run.
     Start(TaskId, RunNumber),
-    /// A stop of this run.
+    /// Stop of this run.
     Stop(TaskId, RunNumber),
-    /// A hold.
+    /// Renewal of the lease.
     Hold,
 }
 
 impl MinionOrder {
-    /// What it is.
+    /// The kind of this order, with the run that it is for.
     pub fn kind(&self) -> OrderKind {
         match self {
             Self::Start(order) => OrderKind::Start(order.task, order.run),
@@ -115,76 +115,77 @@
     }
 }
 
-/// Something to be done outside.
+/// An action that the caller of the dispatcher has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
-    /// Sends an order to a minion.
+    /// Send an order to a minion.
     Minion(Target, MinionOrder),
-    /// Asks which minions may run a step.
+    /// Ask the policy service which minions may run a step.
     Advise(AdviceQuestion),
-    /// Tells what was decided, and from what.
+    /// Log a decision and its inputs.
     Note(Box<Note>),
 }
 
-/// Which question to the policy service an answer belongs to.
+/// Identifies a question to the policy service, to match its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuestionId {
-    /// The step.
+    /// Step that the question is about.
     pub step: StepId,
-    /// Number of the question, from 1 under each leader.
+    /// Sequence number of the question, from 1 under each leader.
     pub number: u64,
 }
 
-/// A question to the policy service.
+/// A question to the policy service: which of these minions may run a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdviceQuestion {
-    /// Which one it is.
+    /// Returned with the answer.
     pub id: QuestionId,
-    /// Incarnations asked about.
+    /// Candidate incarnations.
     pub minions: Vec<MinionId>,
-    /// Expected time of the answer, for sharing questions among askers.
+    /// Expected response time, used to balance questions among the processes that send them.
     pub cost: Duration,
 }
 
 /// Minions that may run a step, each with its ticket.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Advice {
-    /// Incarnation and ticket.
+    /// Permitted incarnations with their tickets.
     pub good: Vec<(MinionId, CompactString)>,
 }
 
-/// Why a call brought no answer.
+/// Why a call got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Silence {
-    /// Nobody listens there.
+    /// The connection was refused: nothing listens on the address.
     Refused,
-    /// Nothing came in time.
+    /// The call timed out.
     Lost,
-    /// The process that should have called is stuck or gone: this says nothing of the minion.
+    /// The process that should have made the call is stuck or has ended. This is no evidence about
+    /// the minion.
     NotCalled,
-    /// The connection broke while the answer was awaited.
+    /// The connection was lost before the answer arrived.
     Broken,
 }
 
-/// Why a minion did not start a run.
+/// Why a minion refused to start a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartRefusal {
     /// It has seen a higher fencing token.
     Fenced,
-    /// The run is not newer than one that ended or was stopped there.
+    /// A run of the task with the same or a higher number has ended or was stopped there.
     Superseded,
     /// The deadline had passed.
     Late,
-    /// It does not fit.
+    /// The minion's free resources are too small.
     NoRoom,
-    /// The ticket is missing or too old.
+    /// The ticket is missing or has expired.
     Ticket,
-    /// It is unhealthy or does not understand the order.
+    /// The minion is unhealthy or can't parse the order.
     Unhealthy,
 }
 
 impl StartRefusal {
-    /// Name in logs.
+    /// The name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Fenced => "fenced",
@@ -200,84 +201,84 @@
 /// Answer to a start or a stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Carried out.
+    /// The order was carried out.
     Done {
-        /// The minion's clock.
+        /// The minion's clock, where its answer has it.
         clock: Option<Duration>,
     },
-    /// Refused; nothing was done.
+    /// The order was refused and had no effect.
     Refused {
-        /// The minion's clock.
+        /// The minion's clock, where its answer has it.
         clock: Option<Duration>,
-        /// Why.
+        /// Reason that the minion gave.
         why: StartRefusal,
     },
-    /// Another incarnation listens there: the one meant is gone for good.
+    /// Another incarnation listens on the address: the addressed one has ended for good.
     OtherIncarnation,
-    /// No answer; it may have been carried out, or may be later.
+    /// No answer: the order may have been carried out, or may be carried out later.
     Silent(Silence),
 }
 
-/// A run as its minion lists it.
+/// A current run in a minion's listing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedRun {
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
-    /// The run.
+    /// Number of the run.
     pub run: RunNumber,
-    /// Saved progress.
+    /// Latest checkpoint; empty when there is none.
     pub checkpoint: Checkpoint,
-    /// Share of its work that is done, or 100 while a lasting task is at work.
+    /// Completed share of its work in percent; 100 while a lasting task is up.
     pub percent: u32,
-    /// For a serving task its tail latency in ms, otherwise the thousandths of a core it uses.
+    /// Tail latency in ms for a task that serves requests, otherwise its CPU usage in millicores.
     pub load: u32,
 }
 
-/// An end as its minion lists it.
+/// An unacknowledged end of a run in a minion's listing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedEnd {
-    /// Number of the end, from 1 in each incarnation.
+    /// Sequence number of the end, from 1 in each incarnation.
     pub number: u64,
-    /// The task.
+    /// Task of the run.
     pub task: TaskId,
-    /// The run.
+    /// Number of the run.
     pub run: RunNumber,
-    /// How it ended.
+    /// Result of the run.
     pub kind: EndKind,
-    /// Saved progress.
+    /// Last checkpoint; empty when there is none.
     pub checkpoint: Checkpoint,
 }
 
-/// What a minion answers to a hold.
+/// The runs and unacknowledged ends of a minion, in its answer to a hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// When it started; `None` when it does not say.
+    /// Start time of the minion process; `None` when the answer doesn't have it.
     pub started: Option<Timestamp>,
-    /// Its clock.
+    /// The minion's clock.
     pub clock: Duration,
-    /// What runs.
+    /// All current runs.
     pub running: Vec<ListedRun>,
-    /// What ended and is not acknowledged, oldest first; cut at a limit of the minion's.
+    /// Unacknowledged ends, oldest first; truncated at a limit that the minion sets.
     pub ended: Vec<ListedEnd>,
-    /// Rows of either list that could not be read.
+    /// Number of rows in both lists that could not be parsed.
     pub unreadable: u32,
 }
 
 /// Answer to a hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HoldAnswer {
-    /// The lists.
+    /// The minion renewed its lease and lists its runs.
     Listing(Listing),
-    /// The minion has seen a higher token, or refuses for another reason.
+    /// The minion refused, because it has seen a higher fencing token or for another reason.
     Refused,
-    /// Another incarnation listens there.
+    /// Another incarnation listens on the address.
     OtherIncarnation,
-    /// No answer.
+    /// No answer: the lease may have been renewed.
     Silent(Silence),
 }
 
 impl HoldAnswer {
-    /// Name in logs.
+    /// The name used in logs.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Listing(_) => "lists",
@@ -291,13 +292,13 @@
     }
 }
 
-/// A configuration as an operator sends it, with its meaning.
+/// A configuration from an operator, as text and parsed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigOrder {
-    /// Its version.
+    /// Version that the operator gave it.
     pub version: crate::batch::model::ConfigVersion,
-    /// The text.
+    /// Text as received.
     pub document: Bytes,
-    /// What it means.
+    /// The parsed text.
     pub parsed: std::sync::Arc<crate::batch::model::Configuration>,
 }
--- a/src/batch/dispatch/place.rs
+++ b/src/batch/dispatch/place.rs
@@ -1,4 +1,4 @@
-//! Placement: which minion runs which waiting task.
+//! Placement of waiting tasks on minions.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::minion::Minion;
 use super::quota::LimitState;
 use super::run::{Run, charged};
-use super::scarcity::Level;
+use super::scarcity::Utilization;
 use super::speed::Slowness;
 use super::{Dispatcher, ReadyStep};
 use crate::batch::ledger::{Ledger, Start};
@@ -17,15 +17,16 @@
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
-/// Pause between two rounds when nothing has changed: tickets and pauses run out meanwhile.
-const PLACE_AGAIN: Duration = Duration::from_millis(100);
-/// Pause between two rounds while many tasks wait: ends come every millisecond or two then, and a
-/// hundredth of a second is little against the time that tasks wait.
+/// Pause between two rounds when nothing has changed: tickets expire and back-off pauses end
+/// meanwhile.
+const IDLE_PLACE_PAUSE: Duration = Duration::from_millis(100);
+/// Pause between two rounds while many tasks wait: runs then end every millisecond or two, and 10
+/// ms is short compared with the time that tasks wait.
 const CROWDED_PAUSE: Duration = Duration::from_millis(10);
-/// Most starts decided in one round, so that one round never holds the control thread long.
-const MAX_STARTS: usize = 256;
+/// Most starts in one round, so that a round doesn't block the control thread for long.
+const MAX_STARTS_PER_ROUND: usize = 256;
 
-/// How well a minion suits a task; the least is the best.
+/// Rank of a minion for a task; the lowest is the best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Score {
     far: bool,
@@ -35,18 +36,18 @@
 }
 
 impl Dispatcher {
-    /// Gives waiting tasks to minions, in the order of service.
+    /// Runs one placement round over all ready steps, in the order of service.
     pub(super) fn place(&mut self, now: Timestamp, unix: Timestamp, ledger: &Ledger) {
         self.place_wanted = false;
-        self.place_at = now + PLACE_AGAIN;
-        self.renew_levels(now);
+        self.place_at = now + IDLE_PLACE_PAUSE;
+        self.refresh_utilization(now);
         self.claims = self.claims.next_round(now);
         self.quotas.next_round();
         let order = self.service_order(unix);
         let mut started = 0;
         for id in &order {
             let id = *id;
-            if started >= MAX_STARTS {
+            if started >= MAX_STARTS_PER_ROUND {
                 self.place_wanted = true;
                 break;
             }
@@ -85,13 +86,14 @@
         }
         let state = self.limit_state(&step, spec);
         if state != LimitState::Open {
-            if state == LimitState::Next {
-                self.await_limit(now, unix, id, &step, spec);
+            if state == LimitState::First {
+                self.prepare_for_limit(now, unix, id, &step, spec);
             }
             self.ready.insert(id, step);
             return placed;
         }
-        // A question about a lasting task names the minions on which room is kept for it.
+        // A question about a lasting task names the minions on which resources are reserved for it,
+        // so they are reserved first.
         if step.is_lasting() {
             self.claim_room(now, unix, id, &step);
         }
@@ -105,8 +107,9 @@
         placed
     }
 
-    /// Prepares for the turn of a step that is the first to wait for the limit of its workspace.
-    fn await_limit(
+    /// Obtains tickets and frees resources for the first step that waits for the limit of its
+    /// workspace.
+    fn prepare_for_limit(
         &mut self,
         now: Timestamp,
         unix: Timestamp,
@@ -146,7 +149,8 @@
         }
     }
 
-    /// The best minion for one more task of a step; `suspect` says whether it may crash its minion.
+    /// The best minion for one more task of a step. `suspect` is set for a task that may crash its
+    /// minion.
     fn choose(
         &self,
         now: Timestamp,
@@ -167,13 +171,14 @@
         best.map(|m| m.number)
     }
 
-    /// Minions that the policy may let run a step. Where there is a policy, few have a ticket, and
-    /// the others need no look.
+    /// Minions that may have a ticket for a step; all minions where its queue has no policy. Few
+    /// have a ticket, so the others aren't examined.
     pub(super) fn candidates(&self, id: StepId, step: &ReadyStep) -> Vec<&Minion> {
         self.listed_minions(id, step, Knowledge::ticketed)
     }
 
-    /// Minions of a list in what is known of the policy for a step; all where there is no policy.
+    /// Minions of one of the lists in the policy state of a step; all minions where its queue has
+    /// no policy.
     pub(super) fn listed_minions<'a, I: Iterator<Item = MinionNumber> + 'a>(
         &'a self,
         id: StepId,
@@ -189,7 +194,8 @@
             .collect()
     }
 
-    /// Whether a minion may be given one more task of a step now.
+    /// Whether one more task of a step may be placed on a minion now, with its free resources and
+    /// the reservations there taken into account.
     pub(super) fn may_run(
         &self,
         now: Timestamp,
@@ -206,7 +212,8 @@
             && self.suits(now, minion, id, step, spec)
     }
 
-    /// Whether a minion may run tasks of a step at all now, its room aside.
+    /// Whether a minion is eligible for a step and has a ticket where one is needed, regardless of
+    /// its free resources.
     pub(super) fn suits(
         &self,
         now: Timestamp,
@@ -223,7 +230,8 @@
                     .is_some_and(|k| k.has_ticket(minion.number, now)))
     }
 
-    /// Whether a minion could run one more task of a step if the policy lets it, its room aside.
+    /// Whether a minion could run one more task of a step, regardless of tickets and of its free
+    /// resources.
     pub(super) fn is_eligible(
         &self,
         now: Timestamp,
@@ -241,7 +249,8 @@
         if spec.label.as_ref().is_some_and(|l| !minion.has_label(l)) {
             return false;
         }
-        // A task that fills slows down those that serve beside it; apart, nobody is harmed.
+        // A task that uses idle CPU slows down latency-sensitive tasks on the same minion, so the
+        // two kinds are kept apart.
         if (spec.fills && minion.serving > 0)
             || (spec.latency_target.is_some() && minion.filling > 0)
         {
@@ -255,12 +264,11 @@
         minion.runs.range(id.tasks()).count() as u32
     }
 
-    /// Lower is better: near the data, then by speed, then the tightest fit in what is scarce, so
-    /// that large room stays whole.
+    /// Prefers minions in the rack of the data, then by speed, then the tightest fit in the
+    /// scarcest resources, which keeps large free blocks for large tasks.
     ///
-    /// Urgent work goes to fast minions and leaves the slow ones to work that has time: its
-    /// objective is one and a half times its run time on a usual minion, and a slow one takes up
-    /// most of that half.
+    /// Urgent work prefers fast minions, other work the slow ones: the objective of urgent work is
+    /// 1.5 times its run time on an average minion, and a slow minion uses up most of the margin.
     pub(super) fn score(
         &self,
         minion: &Minion,
@@ -274,25 +282,26 @@
             .is_some_and(|rack| !minion.has_label(rack));
         let mut left = minion.free().saturating_sub(need);
         left.millicores = left.millicores.saturating_sub(minion.filling);
-        let level = self.level(&minion.report.service);
+        let utilization = self.utilization(&minion.report.service);
         let slowness = self.speeds.slowness(&minion.pace);
         let urgent = step.queue.priority == 0 && spec.lifetime == Lifetime::Finite;
         let speed = match slowness {
             Slowness::VerySlow => u8::MAX,
             slowness if urgent => slowness as u8,
-            // Where all are needed, a tight fit gains more than leaving the fast ones free.
-            _ if level.is_some_and(Level::is_full) => 0,
+            // In a full service, a tight fit gains more than keeping the fast minions free.
+            _ if utilization.is_some_and(Utilization::is_full) => 0,
             slowness => Slowness::Slow as u8 - slowness as u8,
         };
         Score {
             far,
             speed,
-            left: level.map_or(0, |level| level.weigh(&left)),
+            left: utilization.map_or(0, |utilization| utilization.weighted_leftover(&left)),
             minion: minion.number,
         }
     }
 
-    /// Proposes a start; it is sent once agreed.
+    /// Adds the start of a task to the next batch and tracks the run; the order is sent after the
+    /// commit.
     #[allow(clippy::too_many_arguments)]
     pub(super) fn grant(
         &mut self,
--- a/src/batch/dispatch/profile.rs
+++ b/src/batch/dispatch/profile.rs
@@ -1,4 +1,4 @@
-//! How long the tasks of each queue really take, learnt from the runs that ended well.
+//! Statistics of run times for each queue, from successful runs, used to correct declared times.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,58 +8,59 @@
 use crate::batch::ledger::Job;
 use crate::batch::model::Lifetime;
 
-/// Weight of a new run in a queue's means: some fifty runs count, a few seconds of a busy queue.
+/// Weight of a new sample in the moving averages of a queue: about the last 50 runs count, which
+/// are a few seconds of a busy queue.
 const WEIGHT: f64 = 0.02;
-/// Runs before a queue's own run times are believed.
-const ENOUGH: u32 = 20;
-/// Weight of a declared time against the usual one while its queue's runs are not known: neither
-/// is known to be better.
-const EVEN: f64 = 0.5;
+/// Runs needed before measured run times are used.
+const MIN_RUNS: u32 = 20;
+/// Weight of a job's declared time against the queue's mean declared time while there are too few
+/// measured runs to prefer either.
+const EQUAL_WEIGHT: f64 = 0.5;
 
-/// Mean and variance of a logarithm, over the latest samples.
+/// Exponentially weighted mean and variance of logarithms.
 #[derive(Clone, Copy, Debug, Default)]
-struct Spread {
+struct LogStats {
     mean: f64,
     variance: f64,
     samples: u32,
 }
 
-impl Spread {
+impl LogStats {
     fn learn(&mut self, sample: f64) {
         self.samples += 1;
         let weight = WEIGHT.max(1.0 / f64::from(self.samples));
-        let off = sample - self.mean;
-        self.mean += off * weight;
-        self.variance += (off * off * (1.0 - weight) - self.variance) * weight;
+        let deviation = sample - self.mean;
+        self.mean += deviation * weight;
+        self.variance += (deviation * deviation * (1.0 - weight) - self.variance) * weight;
     }
 }
 
-/// Logarithms of times in seconds.
+/// Statistics of one queue, over logarithms of times in seconds.
 #[derive(Clone, Copy, Debug, Default)]
-struct Profile {
-    declared: Spread,
-    seen: Spread,
-    /// Of seen by declared times.
-    error: Spread,
+struct RunTimeStats {
+    declared: LogStats,
+    measured: LogStats,
+    /// Logarithm of the ratio of measured to declared time.
+    error: LogStats,
 }
 
-/// What is known of all queues.
+/// Run time statistics by name of the queue.
 #[derive(Debug, Default)]
-pub(super) struct Profiles(HashMap<CompactString, Profile>);
+pub(super) struct Profiles(HashMap<CompactString, RunTimeStats>);
 
 impl Profiles {
-    /// Takes a run in.
-    pub(super) fn learn(&mut self, queue: &CompactString, declared: Duration, seen: Duration) {
-        if declared.is_zero() || seen.is_zero() {
+    /// Records the declared and the measured time of a successful run.
+    pub(super) fn learn(&mut self, queue: &CompactString, declared: Duration, measured: Duration) {
+        if declared.is_zero() || measured.is_zero() {
             return;
         }
         let profile = self.0.entry(queue.clone()).or_default();
-        let (declared, seen) = (declared.as_secs_f64().ln(), seen.as_secs_f64().ln());
-        profile.seen.learn(seen);
-        profile.error.learn(seen - declared);
+        let (declared, measured) = (declared.as_secs_f64().ln(), measured.as_secs_f64().ln());
+        profile.measured.learn(measured);
+        profile.error.learn(measured - declared);
     }
 
-    /// Takes in what a job declares.
+    /// Records the declared times of a job's finite steps.
     pub(super) fn declared(&mut self, job: &Job) {
         let steps = job.spec.steps.iter();
         for step in steps.filter(|s| s.lifetime == Lifetime::Finite && !s.estimate.is_zero()) {
@@ -68,14 +69,15 @@
         }
     }
 
-    /// Run time to reckon with for a task that declares `declared`.
+    /// Expected run time of a task with the declared time `declared`.
     ///
-    /// Declared times of long work are off by a factor of two and more either way. A job that
-    /// declares far too little would look late as soon as it is handed in, one that declares far
-    /// too much would be put behind all others; both were never served in a busy cell. The declared
-    /// time counts by what it tells: by the variance of run times as a part of that variance and of
-    /// the declared times' error. Until enough runs were seen, as after a change of leader, what the
-    /// queue's jobs declare stands in for what they take.
+    /// Declared times of long work are off by a factor of two and more either way. Taken as they
+    /// are, a job that declares far too little counts as late as soon as it is submitted, and one
+    /// that declares far too much is ordered behind all others; neither was ever started in a busy
+    /// cell. So the declared time is weighted by its reliability: the variance of the run times
+    /// divided by the sum of that variance and the variance of the declaration error. Until enough
+    /// runs are measured, as after a change of leader, the mean declared time of the queue replaces
+    /// the mean measured time.
     pub(super) fn expected(&self, queue: &CompactString, declared: Duration) -> Duration {
         if declared.is_zero() {
             return declared;
@@ -84,20 +86,20 @@
             return declared;
         };
         let own = declared.as_secs_f64().ln();
-        if profile.seen.samples >= ENOUGH {
-            let (spread, error) = (profile.seen.variance, profile.error.variance);
-            let told = spread / (spread + error).max(f64::MIN_POSITIVE);
-            // What declared times are off by on the average, this one is as well.
-            return between(profile.seen.mean, own + profile.error.mean, told);
+        if profile.measured.samples >= MIN_RUNS {
+            let (variance, error) = (profile.measured.variance, profile.error.variance);
+            let reliability = variance / (variance + error).max(f64::MIN_POSITIVE);
+            // The declared time is corrected by the mean declaration error.
+            return geometric_mean(profile.measured.mean, own + profile.error.mean, reliability);
         }
         if profile.declared.samples == 0 {
             return declared;
         }
-        between(profile.declared.mean, own, EVEN)
+        geometric_mean(profile.declared.mean, own, EQUAL_WEIGHT)
     }
 }
 
-/// The time whose logarithm lies between two others; `weight` is the second one's.
-fn between(first: f64, second: f64, weight: f64) -> Duration {
+/// Weighted geometric mean of two times given as logarithms; `weight` is that of the second.
+fn geometric_mean(first: f64, second: f64, weight: f64) -> Duration {
     Duration::from_secs_f64((first * (1.0 - weight) + second * weight).exp())
 }
--- a/src/batch/dispatch/questions.rs
+++ b/src/batch/dispatch/questions.rs
@@ -1,4 +1,4 @@
-//! Questions to the policy service that are on the way, and how many there may be.
+//! Pending questions to the policy service, and limits on their number.
 
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
@@ -9,54 +9,56 @@
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
-/// What a question counts against. Each share has a limit of its own, which the others cannot use
-/// up: work that comes late in the order of service is asked about however many come before it.
+/// The limit that a question counts against. Each share has its own limit, which the others can't
+/// use up, so that steps late in the order of service are asked about however many precede them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Share {
     /// Steps in the order of service.
     Ordinary,
-    /// Lasting tasks, which serve nobody while they have no run.
+    /// Lasting tasks, whose service is down while they have no run.
     Lasting,
     /// Steps that have waited longest for a question.
     PassedOver,
 }
 
-/// Of this many askers one is there for lasting steps alone, and one for steps that were passed over.
-const RESERVED_PART: usize = 4;
+/// One in this many processes is reserved for lasting steps, and one for steps that were passed
+/// over.
+const AGENTS_PER_RESERVED: usize = 4;
 
-/// A question on the way.
+/// A pending question.
 #[derive(Clone, Debug)]
 pub(super) struct Asked {
     pub(super) id: QuestionId,
     share: Share,
     pub(super) at: Timestamp,
-    /// Minions that it names, and the room there that it counts on.
+    /// Minions that it names, and the resources that it earmarks there.
     pub(super) minions: Vec<(MinionNumber, Resources)>,
 }
 
-/// Questions on the way.
+/// Pending questions, counted by share.
 #[derive(Debug, Default)]
 pub(super) struct Questions {
-    /// Number of the latest one.
+    /// Number of the latest question.
     last: u64,
     ordinary: usize,
     lasting: usize,
     passed_over: usize,
-    /// Room that they count on.
-    counted_on: HashMap<MinionNumber, Resources>,
-    /// In the order in which they were sent, with those that are answered by now.
+    /// Resources that pending questions earmark.
+    earmarked: HashMap<MinionNumber, Resources>,
+    /// In the order of sending, including questions that have been answered since.
     sent: VecDeque<(Timestamp, QuestionId)>,
 }
 
 impl Questions {
-    /// How many are on the way.
+    /// Number of pending questions.
     pub(super) fn count(&self) -> usize {
         self.ordinary + self.lasting + self.passed_over
     }
 
-    /// Whether another one of a share may be sent. `ordinary` is the limit of the ordinary share.
-    pub(super) fn may_send(&self, share: Share, askers: usize, ordinary: usize) -> bool {
-        let reserved = askers / RESERVED_PART;
+    /// Whether another question of a share may be sent. `agents` is the number of processes that
+    /// can send one, `ordinary` the limit of the ordinary share.
+    pub(super) fn may_send(&self, share: Share, agents: usize, ordinary: usize) -> bool {
+        let reserved = agents / AGENTS_PER_RESERVED;
         match share {
             Share::Ordinary => self.ordinary < ordinary.max(1),
             Share::Lasting => self.lasting < reserved.max(1),
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Counts a question about a step as on the way.
+    /// Registers a new pending question about a step.
     pub(super) fn send(
         &mut self,
         now: Timestamp,
@@ -72,13 +74,13 @@
         share: Share,
         minions: Vec<(MinionNumber, Resources)>,
     ) -> Asked {
-        *self.of(share) += 1;
+        *self.counter(share) += 1;
         self.last += 1;
         let number = self.last;
         let id = QuestionId { step, number };
         self.sent.push_back((now, id));
         for (minion, room) in &minions {
-            let counted = self.counted_on.entry(*minion).or_default();
+            let counted = self.earmarked.entry(*minion).or_default();
             *counted = counted.saturating_add(room);
         }
         Asked {
@@ -89,11 +91,11 @@
         }
     }
 
-    /// Counts a question as no longer on the way.
+    /// Removes a question that was answered or given up.
     pub(super) fn over(&mut self, asked: &Asked) {
-        *self.of(asked.share) -= 1;
+        *self.counter(asked.share) -= 1;
         for (minion, room) in &asked.minions {
-            if let Entry::Occupied(mut counted) = self.counted_on.entry(*minion) {
+            if let Entry::Occupied(mut counted) = self.earmarked.entry(*minion) {
                 let left = counted.get().saturating_sub(room);
                 if left == Resources::ZERO {
                     counted.remove();
@@ -104,23 +106,24 @@
         }
     }
 
-    /// Room of a minion that questions on the way count on.
+    /// Resources of a minion that pending questions earmark.
     ///
-    /// The minions with the best prospects are the same for all questions that are sent within the
-    /// time of one answer. If each named them, the first answer would take their room and the tickets
-    /// of the others would be of no use.
-    pub(super) fn counted_on(&self, minion: MinionNumber) -> Resources {
-        let counted = self.counted_on.get(&minion);
+    /// The best candidates are the same for all questions that are sent within the response time of
+    /// one. If each question named them, the first answer would use up their resources, and the
+    /// tickets of the other answers would be useless.
+    pub(super) fn earmarked(&self, minion: MinionNumber) -> Resources {
+        let counted = self.earmarked.get(&minion);
         counted.copied().unwrap_or_default()
     }
 
-    /// The oldest question, once, if it was sent `age` ago or earlier. It may be answered by now.
+    /// Removes and returns the oldest question that was sent at least `age` ago. It may have been
+    /// answered.
     pub(super) fn take_older(&mut self, now: Timestamp, age: Duration) -> Option<QuestionId> {
         self.sent.front().filter(|(at, _)| now >= *at + age)?;
         self.sent.pop_front().map(|(_, question)| question)
     }
 
-    fn of(&mut self, share: Share) -> &mut usize {
+    fn counter(&mut self, share: Share) -> &mut usize {
         match share {
             Share::Ordinary => &mut self.ordinary,
             Share::Lasting => &mut self.lasting,
--- a/src/batch/dispatch/quota.rs
+++ b/src/batch/dispatch/quota.rs
@@ -1,7 +1,7 @@
-//! What each workspace has running, against what it may have.
+//! Limits of workspaces, and the resources that their runs use.
 //!
-//! All that may run counts: starts that are being agreed, orders without an answer, runs that are
-//! being stopped, and runs of silent minions until their leases are over.
+//! Every run that may exist counts: starts that are not committed yet, unanswered orders, runs that
+//! are being stopped, and runs on unreachable minions until their leases have ended.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,16 +15,16 @@
 use crate::ids::{Timestamp, WorkspaceName};
 use crate::resources::Resources;
 
-/// What one workspace has running.
+/// Runs of one workspace and the sum of their resources.
 #[derive(Debug, Default)]
 struct Usage {
     runs: BTreeSet<(TaskId, RunNumber)>,
     all: Resources,
-    /// Part of it that does not end by itself.
+    /// Part of `all` that belongs to lasting tasks, which run until they are cancelled.
     lasting: Resources,
 }
 
-/// A run as it counts against a limit.
+/// Contribution of a run to the usage of its workspace.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Charge<'a> {
     pub(super) owner: &'a WorkspaceName,
@@ -33,35 +33,36 @@
     pub(super) lasting: bool,
 }
 
-/// Where a step stands at the limit of its workspace.
+/// Whether the limit of its workspace lets a step start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LimitState {
-    /// It may start.
+    /// The step may start.
     Open,
-    /// It waits for the limit, as the first of its workspace.
-    Next,
-    /// It waits for the limit, behind another one or in vain.
-    Behind,
+    /// The step waits for the limit, and has the rest of the limit reserved for it.
+    First,
+    /// The step waits for the limit behind another step, or can't start while lasting tasks run.
+    Blocked,
 }
 
-/// Limits and use of all workspaces.
+/// Limits and usage of all workspaces.
 #[derive(Debug, Default)]
 pub(super) struct Quotas {
     limits: BTreeMap<WorkspaceName, Resources>,
     used: BTreeMap<WorkspaceName, Usage>,
-    /// Kept in the present round for the first step of each workspace that waits for it.
-    kept: BTreeMap<WorkspaceName, Resources>,
+    /// Part of the limit that the current round reserves for the first waiting step of each
+    /// workspace.
+    reserved: BTreeMap<WorkspaceName, Resources>,
 }
 
 impl Quotas {
-    /// Takes limits in place of all former ones. Runs above a lowered one go on.
+    /// Replaces all limits. Runs that exceed a lowered limit continue.
     pub(super) fn set_limits(&mut self, limits: impl Iterator<Item = (WorkspaceName, Resources)>) {
         self.limits = limits
             .map(|(name, limit)| (name, or_unlimited(limit)))
             .collect();
     }
 
-    /// Counts a run, once.
+    /// Adds a run to the usage; a repetition has no effect.
     pub(super) fn add(&mut self, charge: Charge) {
         let used = self.used.entry(charge.owner.clone()).or_default();
         if !used.runs.insert(charge.run) {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Counts a run no more.
+    /// Removes a run from the usage; a repetition has no effect.
     pub(super) fn remove(&mut self, charge: Charge) {
         let Some(used) = self.used.get_mut(charge.owner) else {
             return;
@@ -90,19 +91,19 @@
         }
     }
 
-    /// Forgets what was kept in the round before.
+    /// Drops the reservations of the previous round.
     pub(super) fn next_round(&mut self) {
-        self.kept.clear();
+        self.reserved.clear();
     }
 
-    /// How many tasks of this need may start now.
+    /// Number of tasks with this need that may start now; `u32::MAX` without a limit.
     pub(super) fn times(&self, owner: Option<&WorkspaceName>, need: &Resources) -> u32 {
         owner
             .and_then(|owner| self.room(owner))
             .map_or(u32::MAX, |room| need.times_in(&room))
     }
 
-    /// Whether a workspace has more running than it may.
+    /// Whether the usage of a workspace exceeds its limit.
     pub(super) fn is_over(&self, owner: Option<&WorkspaceName>) -> bool {
         let over = |owner: &WorkspaceName| {
             let limit = self.limits.get(owner)?;
@@ -111,7 +112,7 @@
         owner.and_then(over).unwrap_or(false)
     }
 
-    /// What a workspace has running.
+    /// Resources that the runs of a workspace use.
     pub(super) fn used(&self, owner: &WorkspaceName) -> Resources {
         self.used
             .get(owner)
@@ -123,26 +124,26 @@
         self.limits.get(owner)
     }
 
-    /// Workspaces with a limit, each with what it has running and may have.
+    /// Usage and limit of each workspace that has a limit.
     pub(super) fn uses(&self) -> impl Iterator<Item = (&WorkspaceName, Resources, Resources)> {
         let limits = self.limits.iter();
         limits.map(|(owner, limit)| (owner, self.used(owner), *limit))
     }
 
-    /// What a workspace may still start in this round; `None` without a limit.
+    /// Resources that a workspace may still use in this round; `None` without a limit.
     fn room(&self, owner: &WorkspaceName) -> Option<Resources> {
         let room = self.limits.get(owner)?.saturating_sub(&self.used(owner));
-        let kept = self.kept.get(owner);
-        Some(kept.map_or(room, |kept| room.saturating_sub(kept)))
+        let reserved = self.reserved.get(owner);
+        Some(reserved.map_or(room, |reserved| room.saturating_sub(reserved)))
     }
 
-    /// Keeps the limit's room for what waits for it; false if other work came before.
+    /// Reserves part of the limit for a waiting step. False when another step has the reservation,
+    /// or when the step could not start even after all finite runs had ended.
     ///
-    /// Without it small tasks would take each part as it comes free, and a large task or a gang
-    /// would wait for as long as there are small ones. What could not start even if all that ends
-    /// by itself had ended is not waited for.
-    fn keep(&mut self, owner: &WorkspaceName, need: &Resources) -> bool {
-        if self.kept.contains_key(owner) {
+    /// Without the reservation, small tasks would take each part of the limit as it is freed, and a
+    /// large task or a gang would wait as long as there are small ones.
+    fn reserve(&mut self, owner: &WorkspaceName, need: &Resources) -> bool {
+        if self.reserved.contains_key(owner) {
             return false;
         }
         let Some(limit) = self.limits.get(owner) else {
@@ -151,25 +152,26 @@
         let lasting = self.used.get(owner).map_or(Resources::ZERO, |u| u.lasting);
         let comes_free = limit.saturating_sub(&lasting);
         if need.fits_in(&comes_free) {
-            self.kept.insert(owner.clone(), *need);
+            self.reserved.insert(owner.clone(), *need);
             return true;
         }
         false
     }
 }
 
-/// A limit of zero is none.
+/// Replaces a limit of zero, which stands for no limit, by the highest value.
 fn or_unlimited(limit: Resources) -> Resources {
-    let unit = |unit: u32| if unit == 0 { u32::MAX } else { unit };
+    let or_max = |amount: u32| if amount == 0 { u32::MAX } else { amount };
     Resources {
-        millicores: unit(limit.millicores),
-        memory_mb: unit(limit.memory_mb),
-        accelerators: unit(limit.accelerators),
+        millicores: or_max(limit.millicores),
+        memory_mb: or_max(limit.memory_mb),
+        accelerators: or_max(limit.accelerators),
     }
 }
 
-/// What the tasks of a step that start together count against a limit.
-fn wanted(step: &ReadyStep, spec: &StepSpec) -> Resources {
+/// Resources that a step needs under the limit to start any task: those of one task, or of all
+/// waiting members of a gang.
+fn required(step: &ReadyStep, spec: &StepSpec) -> Resources {
     match spec.grouping {
         Grouping::Single => spec.need,
         Grouping::Gang => {
@@ -180,7 +182,7 @@
 }
 
 impl Dispatcher {
-    /// Takes the limits that are in force.
+    /// Reads the current limits from the ledger.
     pub(super) fn renew_limits(&mut self, ledger: &Ledger) {
         let limits = ledger.workspaces();
         self.quotas
@@ -190,26 +192,28 @@
 
     /// Whether the limit of a step's workspace lets any of its tasks start.
     pub(super) fn is_allowed(&self, step: &ReadyStep, spec: &StepSpec) -> bool {
-        self.quotas.times(step.owner.as_ref(), &wanted(step, spec)) > 0
+        self.quotas
+            .times(step.owner.as_ref(), &required(step, spec))
+            > 0
     }
 
-    /// Where a step stands at the limit of its workspace. The first in the order of service that the
-    /// limit does not let start has room of it kept.
+    /// Checks a step against the limit of its workspace. The first step in the order of service
+    /// that the limit blocks gets a reservation.
     pub(super) fn limit_state(&mut self, step: &ReadyStep, spec: &StepSpec) -> LimitState {
         if self.is_allowed(step, spec) {
             return LimitState::Open;
         }
-        let wanted = wanted(step, spec);
+        let required = required(step, spec);
         let owner = step.owner.as_ref();
-        if owner.is_some_and(|owner| self.quotas.keep(owner, &wanted)) {
-            LimitState::Next
+        if owner.is_some_and(|owner| self.quotas.reserve(owner, &required)) {
+            LimitState::First
         } else {
-            LimitState::Behind
+            LimitState::Blocked
         }
     }
 
-    /// Stops less urgent runs of a step's own workspace where that lets the step start under the
-    /// limit and its job be done in time.
+    /// Preempts less urgent runs of the same workspace, if that lets the step start under the limit
+    /// and its job can still meet its objective.
     pub(super) fn make_room_in_limit(
         &mut self,
         now: Timestamp,
@@ -230,8 +234,8 @@
         }
     }
 
-    /// Runs of a workspace that have to be stopped for a step, the least urgent and the latest begun
-    /// first; `None` where stopping is not enough.
+    /// Runs of a workspace to preempt for a step, the least urgent and then the most recent first;
+    /// `None` if preemption doesn't free enough.
     fn victims_in_limit(
         &self,
         now: Timestamp,
@@ -241,8 +245,8 @@
     ) -> Option<Vec<(TaskId, RunNumber)>> {
         let limit = self.quotas.limits.get(owner)?;
         let usage = self.quotas.used.get(owner)?;
-        let mut after = usage.all.saturating_add(&wanted(step, spec));
-        let mut yielding = Vec::new();
+        let mut after = usage.all.saturating_add(&required(step, spec));
+        let mut preemptible = Vec::new();
         for (task, number) in &usage.runs {
             let Some(run) = self.runs.get(task).filter(|run| run.run == *number) else {
                 continue;
@@ -251,12 +255,12 @@
                 after = after.saturating_sub(&run.need);
             } else if self.yields_to(now, run, step.queue.priority) {
                 let rank = (Reverse((run.priority, run.proposed)), *task);
-                yielding.push((rank, run));
+                preemptible.push((rank, run));
             }
         }
-        yielding.sort_unstable_by_key(|(rank, _)| *rank);
+        preemptible.sort_unstable_by_key(|(rank, _)| *rank);
         let mut victims = Vec::new();
-        for ((_, task), run) in yielding {
+        for ((_, task), run) in preemptible {
             if after.fits_in(limit) {
                 break;
             }
--- a/src/batch/dispatch/ready.rs
+++ b/src/batch/dispatch/ready.rs
@@ -1,4 +1,4 @@
-//! Steps with tasks that wait, in the order in which they are served.
+//! Steps with waiting tasks, and the order in which placement handles them.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,99 +11,100 @@
 use crate::batch::model::{Grouping, JobId, JobSpec, Lifetime, Queue, StepId};
 use crate::ids::{Timestamp, WorkspaceName};
 
-/// Place in the order of service; the least comes first.
+/// Sort key of the order of service; the lowest comes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct OrderKey {
-    /// Lasting tasks first: a service that is down serves nobody, however full the cell is.
+    /// Lasting tasks come first: while one has no run, its users are without service.
     class: u8,
-    /// Beyond what its workspace may count on; then behind all that is not.
+    /// Whether the job was submitted above the weight of its workspace; such jobs come after all
+    /// others.
     surplus: bool,
-    /// The queue's priority.
+    /// Priority of the queue; 0 is the most urgent.
     priority: u32,
-    /// Unix time by which the job should be done.
+    /// Unix time by which the job should be done, from its objective.
     due: Timestamp,
-    /// Later steps of a job first: they finish what was begun.
+    /// Later steps of a job first, to finish started jobs.
     step: Reverse<u16>,
 }
 
-/// A step with tasks that wait.
+/// A step with waiting tasks.
 #[derive(Clone, Debug)]
 pub(super) struct ReadyStep {
     pub(super) key: OrderKey,
     pub(super) spec: Arc<JobSpec>,
     pub(super) queue: Arc<Queue>,
-    /// Workspace of its job.
+    /// Workspace of the job; `None` for a job without one.
     pub(super) owner: Option<WorkspaceName>,
     pub(super) accepted: Timestamp,
-    /// Since when it has had tasks that wait, by the steady clock.
+    /// Since when it has had waiting tasks, in monotonic time.
     pub(super) since: Timestamp,
-    /// While its turn is to come: when it is looked at next for a question.
+    /// Next check for a question to the policy service, while its predecessors still run.
     pub(super) look_at: Timestamp,
-    /// Expected run time of this step and of the longest chain after it.
+    /// Expected run time of this step plus that of the longest chain of steps after it.
     pub(super) remaining: Duration,
-    /// Tasks to be started, in order.
+    /// Indices of the tasks to start, in order.
     pub(super) waiting: Vec<u32>,
 }
 
 impl ReadyStep {
-    /// Whether its tasks run until their job is cancelled.
+    /// Whether its tasks are lasting: they run until their job is cancelled.
     pub(super) fn is_lasting(&self) -> bool {
-        self.key.class == LASTING_FIRST
+        self.key.class == CLASS_LASTING
     }
 
-    /// Time left until the job should be done.
+    /// Time left until the due time; zero after it.
     pub(super) fn slack(&self, unix: Timestamp) -> Duration {
         self.key.due.saturating_sub(unix)
     }
 
-    /// Whether its job is beyond what its workspace may count on.
+    /// Whether its job was submitted above the weight of its workspace.
     pub(super) fn is_surplus(&self) -> bool {
         self.key.surplus
     }
 
-    /// Whether a job that ends is clearly past its objective.
+    /// Whether a finite job clearly misses its objective.
     pub(super) fn is_late(&self, unix: Timestamp) -> bool {
-        !self.is_lasting() && self.lateness(unix) > 0
+        !self.is_lasting() && self.late_penalty(unix) > 0
     }
 
-    /// Whether a job that ends earns nothing more.
+    /// Whether a finite job is so late that it has no value any more.
     pub(super) fn is_worthless(&self, unix: Timestamp) -> bool {
-        !self.is_lasting() && self.lateness(unix) >= WORTHLESS
+        !self.is_lasting() && self.late_penalty(unix) >= EXPIRED_PENALTY
     }
 
-    /// Levels of priority lost by being late.
-    fn lateness(&self, unix: Timestamp) -> u32 {
+    /// Number of priority levels lost by lateness.
+    fn late_penalty(&self, unix: Timestamp) -> u32 {
         let objective = self.key.due.saturating_sub(self.accepted);
-        if unix > self.accepted + objective * LATE_LIMIT {
-            return WORTHLESS;
+        if unix > self.accepted + objective * EXPIRY_FACTOR {
+            return EXPIRED_PENALTY;
         }
-        if unix + self.remaining.mul_f64(SURELY_NEEDED) > self.key.due {
-            return LATE;
+        if unix + self.remaining.mul_f64(MIN_REMAINING_PART) > self.key.due {
+            return LATE_PENALTY;
         }
         0
     }
 }
 
-/// Class of lasting tasks in the order of service.
-const LASTING_FIRST: u8 = 0;
-/// Class of all others.
-const FINITE: u8 = 1;
-/// Levels of priority by which a job falls behind once it is late: it still earns a fifth of its
-/// worth, about what a core-second of the users' least urgent work earns.
-const LATE: u32 = 2;
-/// Levels by which it falls once it earns nothing more.
-const WORTHLESS: u32 = 6;
-/// A job is worth something up to this multiple of its objective.
-const LATE_LIMIT: u32 = 3;
-/// Part of the declared remaining run time that must still fit before the due time. Declared
-/// times are rough, so a job is only taken for late when it is clearly so.
-const SURELY_NEEDED: f64 = 0.8;
+/// Class of lasting tasks; the lowest comes first in the order of service.
+const CLASS_LASTING: u8 = 0;
+/// Class of finite tasks.
+const CLASS_FINITE: u8 = 1;
+/// Priority levels that a late job loses: it keeps a fifth of its value, which is about the value
+/// of a core-second of the users' least urgent work.
+const LATE_PENALTY: u32 = 2;
+/// Priority levels that a job loses once it has no value any more.
+const EXPIRED_PENALTY: u32 = 6;
+/// A job has a value up to this multiple of its objective.
+const EXPIRY_FACTOR: u32 = 3;
+/// Part of the expected remaining run time that must fit before the due time. Expected times are
+/// inaccurate, so a job counts as late only when it clearly is.
+const MIN_REMAINING_PART: f64 = 0.8;
 
 impl Dispatcher {
-    /// Steps with tasks that wait, in the order of service at `unix`.
+    /// Steps with waiting tasks, in the order of service at `unix`.
     ///
-    /// Answers a load above the room: by due time alone, jobs that are late already would go
-    /// first and make the next ones late as well.
+    /// Late jobs lose priority. Under overload, an order by due time alone would put jobs that are
+    /// late already first and make the following ones late as well.
     pub(super) fn service_order(&self, unix: Timestamp) -> Vec<StepId> {
         let mut order: Vec<_> = self
             .ready
@@ -111,7 +112,7 @@
             .map(|(id, step)| {
                 let mut key = step.key;
                 if !step.is_lasting() && self.cfg.mechanisms.has(Mechanism::Lateness) {
-                    key.priority += step.lateness(unix);
+                    key.priority += step.late_penalty(unix);
                 }
                 (key, *id)
             })
@@ -120,8 +121,8 @@
         order.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Looks again at the jobs that changed.
-    pub(super) fn renew_ready(&mut self, now: Timestamp, ledger: &Ledger) {
+    /// Rebuilds the ready and coming steps of all changed jobs.
+    pub(super) fn refresh_ready(&mut self, now: Timestamp, ledger: &Ledger) {
         for id in std::mem::take(&mut self.dirty_jobs) {
             let before = remove_job(&mut self.ready, id);
             remove_job(&mut self.coming, id);
@@ -148,7 +149,7 @@
             waiting && !self.runs.contains_key(&id.task(*index))
         };
         let waiting: Vec<u32> = (0..tasks.len() as u32).filter(waits).collect();
-        // A gang starts again only once every member of its last run is known to be over.
+        // A gang starts again only after every member of its last run is known to have ended.
         let whole = spec.grouping == Grouping::Single || waiting.len() == tasks.len();
         if waiting.is_empty() || !whole {
             return;
@@ -161,12 +162,12 @@
     fn ready_step(&self, job: &Job, id: StepId, waiting: Vec<u32>, since: Timestamp) -> ReadyStep {
         let spec = &job.spec.steps[usize::from(id.step)];
         let lasting = spec.lifetime == Lifetime::Lasting;
-        let times = self.times(job, id);
+        let expected = self.expected_times(job, id);
         let key = OrderKey {
-            class: if lasting { LASTING_FIRST } else { FINITE },
+            class: if lasting { CLASS_LASTING } else { CLASS_FINITE },
             surplus: !lasting && self.is_surplus(id.job),
             priority: job.queue.priority,
-            due: due(job, id, times.allowed),
+            due: due(job, id, expected.allowed),
             step: Reverse(id.step),
         };
         ReadyStep {
@@ -177,13 +178,13 @@
             accepted: job.accepted,
             since,
             look_at: since,
-            remaining: times.remaining[usize::from(id.step)],
+            remaining: expected.remaining[usize::from(id.step)],
             waiting,
         }
     }
 }
 
-/// Takes a job's steps out of a map.
+/// Removes the entries of a job's steps from a map and returns them.
 pub(super) fn remove_job<T>(steps: &mut BTreeMap<StepId, T>, job: JobId) -> BTreeMap<StepId, T> {
     let known: Vec<_> = steps
         .range(StepId::all_of(job))
@@ -193,8 +194,8 @@
     taken.collect()
 }
 
-/// When a job should be done: its objective counted from its hand-in or its due time. `chain` is
-/// the longest chain of work through its steps.
+/// Due time of an occurrence of a job: its objective counted from the job's submission, or from the
+/// scheduled time of the occurrence. `chain` is the run time of the longest chain of its steps.
 fn due(job: &Job, id: StepId, chain: Duration) -> Timestamp {
     let begun = job
         .spec
--- a/src/batch/dispatch/reports.rs
+++ b/src/batch/dispatch/reports.rs
@@ -1,21 +1,21 @@
-//! What minions say of themselves.
+//! Reports that minions send about themselves.
 
 use super::Dispatcher;
 use super::minion::Minion;
-use super::restarts::ToldBy;
+use super::restarts::RestartSource;
 use crate::batch::model::{MinionNumber, MinionReport, Readiness};
 use crate::batch::note::Note;
 use crate::ids::{MinionId, Timestamp};
 use crate::resources::Resources;
 
 impl Dispatcher {
-    /// Takes a minion's report about itself.
+    /// Handles a minion's report: its address, capacity, labels and readiness.
     pub fn report(&mut self, now: Timestamp, report: MinionReport) {
         if let Some(number) = self.by_id.get(&report.id).copied() {
-            self.known_report(now, number, report);
+            self.update_report(now, number, report);
             return;
         }
-        // Whoever was known at this address may be gone: a call shows it.
+        // The minion known at this address may have ended; the next call to it will show.
         let at_same_addr = |m: &&mut Minion| m.report.addr == report.addr;
         for old in self.minions.values_mut().filter(at_same_addr) {
             old.displaced(now);
@@ -25,21 +25,21 @@
             minion: report.id.clone(),
             started: report.started,
         });
-        self.join(Minion::new(self.next_minion, report, now));
+        self.add_incarnation(Minion::new(self.next_minion, report, now));
     }
 
-    fn known_report(&mut self, now: Timestamp, number: MinionNumber, report: MinionReport) {
+    fn update_report(&mut self, now: Timestamp, number: MinionNumber, report: MinionReport) {
         let Some(minion) = self.minions.get_mut(&number) else {
             return;
         };
         match (report.started, minion.report.started) {
-            (Some(told), Some(known)) if told > known => {
-                self.restarted(now, number, now, report, ToldBy::Report);
+            (Some(reported), Some(known)) if reported > known => {
+                self.restarted(now, number, now, report, RestartSource::Report);
                 return;
             }
-            (Some(told), Some(known)) if told < known => {
-                // It is of an incarnation before, or of one whose time of day was set back. A call
-                // shows which.
+            (Some(reported), Some(known)) if reported < known => {
+                // The report is from an earlier incarnation, or from a new one whose host's clock
+                // was set back. The next call will show which.
                 minion.displaced(now);
                 self.touched.insert(number);
                 return;
@@ -53,7 +53,8 @@
         }
         let draining = report.readiness != Readiness::Ready;
         let (id, sequence) = (report.id.clone(), report.sequence);
-        let resized = (report.capacity != minion.report.capacity).then_some(report.capacity);
+        let capacity_changed =
+            (report.capacity != minion.report.capacity).then_some(report.capacity);
         let unreported = minion.unreported;
         let started = report.started.or(minion.report.started);
         minion.report = MinionReport { started, ..report };
@@ -66,25 +67,25 @@
             });
         }
         if unreported {
-            self.introduced(number);
-        } else if let Some(capacity) = resized {
-            self.resized(number, capacity);
+            self.first_report(number);
+        } else if let Some(capacity) = capacity_changed {
+            self.capacity_changed(number, capacity);
         }
     }
 
-    fn resized(&mut self, number: MinionNumber, capacity: Resources) {
+    fn capacity_changed(&mut self, number: MinionNumber, capacity: Resources) {
         let Some(minion) = self.minions.get(&number) else {
             return;
         };
         let minion = minion.report.id.clone();
         self.note(Note::MinionResized { minion, capacity });
         self.batch.resized.push((number, capacity));
-        self.levels.changed();
+        self.utilizations.changed();
         self.forget_releases(number);
         self.place_wanted = true;
     }
 
-    /// A minion has said that it ends.
+    /// Handles a minion's message that it is about to end.
     pub fn left(&mut self, now: Timestamp, id: &MinionId) {
         let Some(minion) = self.by_id.get(id).and_then(|n| self.minions.get_mut(n)) else {
             return;
--- a/src/batch/dispatch/restarts.rs
+++ b/src/batch/dispatch/restarts.rs
@@ -1,10 +1,10 @@
-//! Minions that start again under the name that they had.
+//! Minions that restart under the same id.
 //!
-//! Each incarnation has a number of its own here, so that clocks, counts of ends, tickets and answers
-//! of one are never taken for those of another. Nothing on the wire but the time of its start tells a
-//! minion's incarnations apart, and an order to one may be carried out by the next. So the runs of
-//! the former incarnation are carried over, and are over only once the new one does not list them and
-//! no order can begin them any more.
+//! Each incarnation gets its own number here, so that clocks, end counters, tickets and answers of
+//! one are never attributed to another. On the wire, incarnations differ only in their start time,
+//! and an order to one may be carried out by the next. So the runs of the old incarnation are
+//! transferred to the new one, and count as ended only when it doesn't list them and no outstanding
+//! order can start them any more.
 
 use std::time::Duration;
 
@@ -12,23 +12,24 @@
 use super::minion::{Minion, UnsettledStart};
 use super::order::{MinionOrder, Order};
 use super::run::{Run, RunState, StopState};
-use super::{STALE_ORDERS, longest_on_our_clock};
+use super::{STALE_ORDERS, max_lease_on_local_clock};
 use crate::batch::ledger::Crash;
 use crate::batch::model::{EndKind, MinionNumber, MinionReport, Readiness, TaskId};
 use crate::batch::note::Note;
 use crate::ids::Timestamp;
 
-/// What told of a restart.
+/// How a restart was detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ToldBy {
+pub(super) enum RestartSource {
     /// A report of the new incarnation.
     Report,
-    /// Its answer to a hold, which says nothing of what it is.
+    /// The new incarnation's answer to a hold, which has no capacity or labels.
     List,
 }
 
 impl Dispatcher {
-    /// A list shows that a minion started again, at `started`.
+    /// Handles a listing which shows that a minion restarted at `started`. `sent` is when the hold
+    /// was sent.
     pub(super) fn restart_listed(
         &mut self,
         now: Timestamp,
@@ -42,21 +43,22 @@
         let report = MinionReport {
             started: Some(started),
             sequence: 0,
-            // The word that it leaves was of the incarnation before.
+            // Any report that it leaves was from the old incarnation.
             readiness: Readiness::Ready,
             ..minion.report.clone()
         };
-        self.restarted(now, number, sent, report, ToldBy::List);
+        self.restarted(now, number, sent, report, RestartSource::List);
     }
 
-    /// A minion started again; what told of it was sent at `sent`.
+    /// Replaces a minion that restarted by its new incarnation. The call or report that showed the
+    /// restart was sent at `sent`.
     pub(super) fn restarted(
         &mut self,
         now: Timestamp,
         number: MinionNumber,
         sent: Timestamp,
         report: MinionReport,
-        told_by: ToldBy,
+        source: RestartSource,
     ) {
         let Some(former) = self.minions.remove(&number) else {
             return;
@@ -75,28 +77,28 @@
             self.suspects(&former, sent)
         };
         self.forget_minion(&former);
-        let unsettled = self.unsettled(&former, now);
+        let unsettled = self.unsettled_starts(&former, now);
 
         let mut minion = Minion::new(self.next_minion, report, now);
-        minion.unreported = told_by == ToldBy::List;
-        // An order of before may have given it a lease, or may yet.
+        minion.unreported = source == RestartSource::List;
+        // An order to the old incarnation may have granted the new one a lease, or may still do so.
         let late = if unsettled.is_empty() {
             Duration::ZERO
         } else {
             STALE_ORDERS
         };
-        minion.assumed_until = now + longest_on_our_clock(self.cfg.lease_max) + late;
+        minion.assumed_until = now + max_lease_on_local_clock(self.cfg.lease_max) + late;
         let successor = minion.number;
         minion.unsettled = unsettled.clone();
         let target = minion.target();
-        self.join(minion);
+        self.add_incarnation(minion);
         for task in &former.runs {
-            self.carry_over(now, *task, successor, &suspects);
+            self.transfer_run(now, *task, successor, &suspects);
         }
-        // Whoever was told to stop a run refuses to start it.
+        // After a stop order, a minion refuses to start the run.
         for UnsettledStart { task, run, .. } in unsettled {
-            let carried = self.runs.get(&task).is_some_and(|r| r.run == run);
-            if !carried {
+            let transferred = self.runs.get(&task).is_some_and(|r| r.run == run);
+            if !transferred {
                 let token = self.term;
                 let stop = MinionOrder::Stop { task, run, token };
                 self.out.push(Order::Minion(target.clone(), stop));
@@ -104,9 +106,9 @@
         }
     }
 
-    /// Starts of a former incarnation that may yet be carried out.
-    fn unsettled(&self, former: &Minion, now: Timestamp) -> Vec<UnsettledStart> {
-        let on_the_way = former.runs.iter().filter_map(|task| {
+    /// Unanswered starts sent to the old incarnation that may still be carried out.
+    fn unsettled_starts(&self, former: &Minion, now: Timestamp) -> Vec<UnsettledStart> {
+        let pending = former.runs.iter().filter_map(|task| {
             let run = self.runs.get(task)?;
             (run.state == RunState::Starting).then_some(UnsettledStart {
                 task: *task,
@@ -116,10 +118,10 @@
         });
         let unanswered = former.unsettled.iter().copied();
         let unanswered = unanswered.filter(|start| start.may_come(now));
-        unanswered.chain(on_the_way).collect()
+        unanswered.chain(pending).collect()
     }
 
-    fn carry_over(
+    fn transfer_run(
         &mut self,
         now: Timestamp,
         task: TaskId,
@@ -136,7 +138,7 @@
         let Some(mut run) = self.runs.remove(&task) else {
             return;
         };
-        run.state = if may_yet_begin(&run) {
+        run.state = if may_still_start(&run) {
             RunState::CarriedInDoubt
         } else {
             RunState::Carried
@@ -151,8 +153,8 @@
         self.add_run(task, run);
     }
 
-    /// Takes the first word of a minion that started again about what it is.
-    pub(super) fn introduced(&mut self, number: MinionNumber) {
+    /// Handles the first report of an incarnation whose restart was detected from a listing.
+    pub(super) fn first_report(&mut self, number: MinionNumber) {
         let Some(minion) = self.minions.get_mut(&number) else {
             return;
         };
@@ -163,18 +165,19 @@
             minion.rack = rack;
         }
         self.batch.joined.push((number, report));
-        self.levels.changed();
+        self.utilizations.changed();
         self.place_wanted = true;
     }
 }
 
-/// Whether an order to start a run may yet be carried out, by whoever has the name of its minion.
-fn may_yet_begin(run: &Run) -> bool {
+/// Whether an order to start a run may still be carried out, by any incarnation of its minion.
+fn may_still_start(run: &Run) -> bool {
     match run.state {
-        // Its only order was carried out.
+        // With a single try, its only order was carried out.
         RunState::Running(_) => run.tries > 1,
         RunState::Carried => false,
-        // Orders of earlier leaders are refused once the new incarnation has seen this one's.
+        // Orders of earlier leaders are refused after the new incarnation has seen one of this
+        // leader.
         _ => run.tries > 0,
     }
 }
--- a/src/batch/dispatch/run.rs
+++ b/src/batch/dispatch/run.rs
@@ -1,4 +1,4 @@
-//! Runs that the leader keeps track of, until it is known that they are over.
+//! Runs that the leader tracks until they are known to have ended.
 
 use std::time::Duration;
 
@@ -14,41 +14,42 @@
 use crate::ids::{Timestamp, WorkspaceName};
 use crate::resources::Resources;
 
-/// Where a run stands.
+/// Status of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RunState {
-    /// Its start is not agreed yet; nothing was sent.
+    /// Its start is not committed; no order was sent.
     Proposed,
-    /// Its start was sent and is not answered.
+    /// Its start order was sent and is not answered yet.
     Starting,
-    /// Its start brought no answer, or an earlier leader gave it: it may run, or may yet begin.
+    /// Its start order got no answer, or was sent by an earlier leader: it may run, or may still
+    /// start.
     InDoubt,
-    /// Its minion confirmed it then.
+    /// Its minion confirmed the start or listed the run, at this time.
     Running(Timestamp),
-    /// Its minion started again and has not listed it. The order that began it was carried out, by
-    /// that incarnation or by the one before.
+    /// Its minion restarted and has not listed it. Its start order was carried out, by this
+    /// incarnation or by the previous one.
     Carried,
-    /// The same, and an order to start it may yet be carried out.
+    /// Its minion restarted and has not listed it. An order to start it may still be carried out.
     CarriedInDoubt,
-    /// Its end is known and is being agreed.
+    /// Its end is known and not committed yet.
     Ending,
 }
 
-/// Where the stopping of a run stands.
+/// Status of the stop of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopState {
-    /// Not wanted.
+    /// No stop is requested.
     No,
-    /// Wanted; the order may leave then.
+    /// A stop is requested; the order may be sent from this time on.
     Due(Timestamp),
-    /// The order is on the way.
+    /// The order was sent and is not answered yet.
     Sent,
-    /// The minion confirmed the order then: it runs no more once the end is listed, and will
-    /// never begin if it had not.
+    /// The minion confirmed the order at this time: the run ends when the minion lists its end, and
+    /// will never start if it hadn't.
     Confirmed(Timestamp),
 }
 
-/// One run.
+/// A run of a task, with what the leader has learnt about it.
 #[derive(Clone, Debug)]
 pub(super) struct Run {
     pub(super) run: RunNumber,
@@ -58,42 +59,43 @@
     pub(super) need: Resources,
     pub(super) fills: u32,
     pub(super) serves: bool,
-    /// On the minion's clock: the latest start that was sent is not begun after this.
+    /// On the minion's clock: no start order that was sent is carried out after this.
     pub(super) deadline: Duration,
-    /// Starts sent.
+    /// Start orders sent by this leader.
     pub(super) tries: u32,
-    /// When this leader first sent one.
+    /// When this leader sent the first start order.
     pub(super) ordered: Option<Timestamp>,
     /// Whether it may crash its minion.
     pub(super) suspicion: Suspicion,
-    /// Whether it may have crashed the incarnation before the present one.
+    /// How certain it is that the run crashed the previous incarnation of its minion; `None` when
+    /// it isn't suspected.
     pub(super) suspected: Option<Certainty>,
     pub(super) proposed: Timestamp,
     pub(super) checkpoint: Checkpoint,
-    /// Whether it goes on from saved progress.
+    /// Whether it resumes from a checkpoint.
     pub(super) resumed: bool,
-    /// Workspace of its job.
+    /// Workspace of the job; `None` for a job without one.
     pub(super) owner: Option<WorkspaceName>,
-    /// Its queue.
+    /// Name of the queue.
     pub(super) queue: CompactString,
-    /// Priority of its queue; 0 comes first.
+    /// Priority of the queue; 0 is the most urgent.
     pub(super) priority: u32,
-    /// Declared run time; zero when it goes on from saved progress or lasts.
+    /// Declared run time; zero when it resumes from a checkpoint or is lasting.
     pub(super) estimate: Duration,
-    /// Run time to reckon with; zero when it goes on from saved progress or lasts.
+    /// Expected run time; zero when it resumes from a checkpoint or is lasting.
     pub(super) expected: Duration,
-    /// Progress since its minion first listed it.
+    /// Progress from the minion's listings; `None` before the first.
     pub(super) progress: Option<Progress>,
-    /// When its minion confirmed the start.
+    /// When the start order that the minion confirmed was sent.
     pub(super) begun: Option<Timestamp>,
-    /// Whether it ends by itself.
+    /// Whether it ends without a stop order; false for lasting tasks.
     pub(super) ends: bool,
-    /// Whether stopping it throws nothing away.
+    /// Whether it can be preempted without loss of work.
     pub(super) yields: bool,
 }
 
 impl Run {
-    /// A run that has only been decided on.
+    /// A run whose start is proposed and not committed.
     pub(super) fn new(
         run: RunNumber,
         minion: MinionNumber,
@@ -135,7 +137,7 @@
         }
     }
 
-    /// Takes the share of its work that its minion lists as done, in percent.
+    /// Records the completed share of its work from a listing, in percent.
     pub(super) fn take_progress(&mut self, now: Timestamp, percent: u32) {
         let from_the_start = self.begun.filter(|_| !self.resumed);
         let (at, from) = from_the_start.map_or((now, percent), |begun| (begun, 0));
@@ -143,13 +145,14 @@
         progress.take(now, percent);
     }
 
-    /// Time since its start was sent; zero when an earlier leader sent it.
+    /// Time since the confirmed start order was sent; zero when an earlier leader sent it.
     pub(super) fn worked(&self, now: Timestamp) -> Duration {
         let begun = self.begun;
         begun.map_or(Duration::ZERO, |at| now.saturating_sub(at))
     }
 
-    /// How it counts against the limit of its workspace: tasks that fill with all that they need.
+    /// Its charge to the limit of its workspace; `None` without a workspace. Tasks that use idle
+    /// CPU are charged with all CPU that they declare.
     pub(super) fn charge(&self, task: TaskId) -> Option<Charge<'_>> {
         let need = Resources {
             millicores: self.need.millicores.max(self.fills),
@@ -163,13 +166,13 @@
         })
     }
 
-    /// Whether it was told to stop and its room will come free.
+    /// Whether a stop is requested, so that its resources will be freed.
     pub(super) fn is_leaving(&self) -> bool {
         self.stop != StopState::No
     }
 }
 
-/// Room that a task takes of its minion; the processor time of one that fills is not granted.
+/// Resources that a task reserves on its minion; one that uses idle CPU reserves no CPU.
 pub(super) fn charged(spec: &StepSpec) -> Resources {
     Resources {
         millicores: if spec.fills { 0 } else { spec.need.millicores },
--- a/src/batch/dispatch/scarcity.rs
+++ b/src/batch/dispatch/scarcity.rs
@@ -1,4 +1,4 @@
-//! How scarce each resource of a service is, and what is left over of it by a placement.
+//! Utilization of the resources of each service, and the cost of the leftovers of a placement.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,90 +8,96 @@
 use crate::ids::{ServiceName, Timestamp};
 use crate::resources::Resources;
 
-/// Share given away of a service's scarcest resource from which the service counts as full. What
-/// is left then is mostly too small for the larger half of the tasks.
-const FULL: f64 = 0.85;
-/// Age up to which levels are used again. To reckon them is to look at all minions.
-const LEVELS_KEPT: Duration = Duration::from_millis(100);
-/// Minions for each start or end that levels may be behind: a change of one or two in a hundred.
-const MINIONS_PER_CHANGE: usize = 64;
-/// Leftovers are compared in this many parts of a mean minion.
-const PARTS: f64 = 10_000.0;
+/// Used share of a service's scarcest resource from which the service counts as full. The free
+/// blocks are then mostly too small for the larger half of the tasks.
+const FULL_SHARE: f64 = 0.85;
+/// Age up to which a computed utilization is used again; the computation walks all minions.
+const UTILIZATION_MAX_AGE: Duration = Duration::from_millis(100);
+/// A computed utilization is used again while there are fewer changes than one per this many
+/// minions, an error of one or two percent.
+const MIN_MINIONS_PER_CHANGE: usize = 64;
+/// Resolution of weighted leftovers: parts of an average minion.
+const LEFTOVER_SCALE: f64 = 10_000.0;
 
-/// Room of one service, over the minions that take work.
+/// Utilization of one service, summed over the minions that accept work.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Level {
+pub(super) struct Utilization {
     used: Resources,
     capacity: Resources,
     minions: u32,
 }
 
-impl Level {
-    /// Share given away of each resource: processors, memory, accelerators.
+impl Utilization {
+    /// Used share of each resource: CPU, memory, accelerators.
     fn shares(&self) -> [f64; 3] {
         self.used.shares(&self.capacity)
     }
 
-    /// Whether hardly anything is left of a resource.
+    /// Whether any resource is nearly used up.
     pub(super) fn is_full(&self) -> bool {
-        self.shares().into_iter().any(|share| share >= FULL)
+        self.shares().into_iter().any(|share| share >= FULL_SHARE)
     }
 
-    /// What a leftover is worth: each resource by how much of it is given away. Where accelerators
-    /// are short, spare processors beside none are no loss, and the other way round.
-    pub(super) fn weigh(&self, left: &Resources) -> u32 {
+    /// Cost of leaving `left` free on a minion: each resource is weighted by the square of its used
+    /// share. Where accelerators are scarce, free CPU on a minion without free accelerators costs
+    /// little, and the other way round.
+    pub(super) fn weighted_leftover(&self, left: &Resources) -> u32 {
         let left = left.shares(&self.capacity);
-        let weighed = left.into_iter().zip(self.shares());
-        let sum: f64 = weighed.map(|(left, share)| left * share * share).sum();
-        (sum * f64::from(self.minions) * PARTS) as u32
+        let weighted = left.into_iter().zip(self.shares());
+        let sum: f64 = weighted.map(|(left, share)| left * share * share).sum();
+        (sum * f64::from(self.minions) * LEFTOVER_SCALE) as u32
     }
 }
 
-/// Rooms of all services, and when they were reckoned.
+/// Utilization of all services, with the time of its computation.
 #[derive(Debug, Default)]
-pub(super) struct Levels {
+pub(super) struct Utilizations {
     at: Option<Timestamp>,
-    /// Starts, ends and minions that joined since then.
+    /// Starts, ends, and joined or resized minions since the computation.
     changes: usize,
-    by_service: BTreeMap<ServiceName, Level>,
+    by_service: BTreeMap<ServiceName, Utilization>,
 }
 
-impl Levels {
-    /// Notes a start, an end, or a minion that joined.
+impl Utilizations {
+    /// Records a start, an end, or a minion that joined or was resized.
     pub(super) fn changed(&mut self) {
         self.changes += 1;
     }
 
-    /// Whether they are known well enough in a cell of so many minions.
+    /// Whether the computed values are recent enough in a cell of `minions` minions.
     fn are_fresh(&self, now: Timestamp, minions: usize) -> bool {
-        let few = self.changes * MINIONS_PER_CHANGE < minions;
-        few && self.at.is_some_and(|at| now < at + LEVELS_KEPT)
+        let few = self.changes * MIN_MINIONS_PER_CHANGE < minions;
+        few && self.at.is_some_and(|at| now < at + UTILIZATION_MAX_AGE)
     }
 }
 
 impl Dispatcher {
-    /// Reckons anew how full each service is, unless that is known well enough.
-    pub(super) fn renew_levels(&mut self, now: Timestamp) {
-        if self.levels.are_fresh(now, self.minions.len()) {
+    /// Recomputes the utilization of each service, unless the last computation is recent enough.
+    pub(super) fn refresh_utilization(&mut self, now: Timestamp) {
+        if self.utilizations.are_fresh(now, self.minions.len()) {
             return;
         }
-        let mut by_service: BTreeMap<_, Level> = BTreeMap::new();
+        let mut by_service: BTreeMap<_, Utilization> = BTreeMap::new();
         for minion in self.minions.values().filter(|m| m.takes_work(now)) {
-            let level = by_service.entry(minion.report.service.clone()).or_default();
-            level.used = level.used.saturating_add(&minion.used);
-            level.capacity = level.capacity.saturating_add(&minion.report.capacity);
-            level.minions += 1;
+            let utilization = by_service.entry(minion.report.service.clone()).or_default();
+            utilization.used = utilization.used.saturating_add(&minion.used);
+            utilization.capacity = utilization.capacity.saturating_add(&minion.report.capacity);
+            utilization.minions += 1;
         }
-        self.levels = Levels {
+        self.utilizations = Utilizations {
             at: Some(now),
             changes: 0,
             by_service,
         };
     }
 
-    /// Room of a service; `None` where no minion of it takes work or fit is not weighed.
-    pub(super) fn level(&self, service: &ServiceName) -> Option<&Level> {
-        let weighed = self.cfg.mechanisms.has(Mechanism::TightFit);
-        self.levels.by_service.get(service).filter(|_| weighed)
+    /// Utilization of a service; `None` where none of its minions accepts work, or where the
+    /// mechanism for tight fits is off.
+    pub(super) fn utilization(&self, service: &ServiceName) -> Option<&Utilization> {
+        let enabled = self.cfg.mechanisms.has(Mechanism::TightFit);
+        self.utilizations
+            .by_service
+            .get(service)
+            .filter(|_| enabled)
     }
 }
--- a/src/batch/dispatch/share.rs
+++ b/src/batch/dispatch/share.rs
@@ -1,7 +1,7 @@
-//! Jobs beyond what their workspaces may count on.
+//! Jobs submitted above the weight of their workspace, which is a rate in jobs a second.
 //!
-//! Answers a load of which one workspace sends more than its weight: such jobs come behind all others
-//! in the order of service, so that what the others send within theirs is served as if it did not.
+//! When one workspace submits more than its weight, its excess jobs come after all others in the
+//! order of service, so that the jobs of other workspaces within their weights aren't delayed.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -12,45 +12,46 @@
 use crate::batch::model::JobId;
 use crate::ids::{Timestamp, WorkspaceName};
 
-/// Span over which hand-ins are held against a weight, which is in jobs a second.
-const SPAN: Duration = Duration::from_secs(1);
+/// Sliding window over which submissions are counted against a weight, which is in jobs a second.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// Hand-ins of late, and the open jobs that are beyond a weight.
+/// Recent submissions of each workspace, and the unfinished jobs in excess of a weight.
 #[derive(Debug, Default)]
-pub(super) struct Shares {
-    /// When each workspace handed in what it may count on, within the span.
+pub(super) struct ExcessJobs {
+    /// Times of the submissions within the weight of each workspace, over the window.
     recent: BTreeMap<WorkspaceName, VecDeque<Timestamp>>,
-    surplus: BTreeSet<JobId>,
+    jobs: BTreeSet<JobId>,
 }
 
-impl Shares {
-    /// Takes a hand-in. One beyond the weight does not count against those that follow it.
-    fn take(&mut self, job: JobId, owner: &WorkspaceName, weight: f64, at: Timestamp) {
+impl ExcessJobs {
+    /// Records a submission. An excess one doesn't count against those that follow.
+    fn record(&mut self, job: JobId, owner: &WorkspaceName, weight: f64, at: Timestamp) {
         let recent = self.recent.entry(owner.clone()).or_default();
-        while recent.front().is_some_and(|first| at >= *first + SPAN) {
+        while recent.front().is_some_and(|first| at >= *first + WINDOW) {
             recent.pop_front();
         }
-        // Less than one a second is one that comes more rarely, not none.
+        // A weight below one a second still allows one job in the window.
         if (recent.len() as f64) < weight.max(1.0) {
             recent.push_back(at);
         } else {
-            self.surplus.insert(job);
+            self.jobs.insert(job);
         }
     }
 
-    /// Forgets a job that has ended.
+    /// Removes a finished job.
     pub(super) fn forget(&mut self, job: JobId) {
-        self.surplus.remove(&job);
+        self.jobs.remove(&job);
     }
 }
 
 impl Dispatcher {
-    /// Whether a job is beyond what its workspace may count on.
+    /// Whether a job was submitted above the weight of its workspace; never while the mechanism is
+    /// off.
     pub(super) fn is_surplus(&self, job: JobId) -> bool {
-        self.cfg.mechanisms.has(Mechanism::SurplusLast) && self.shares.surplus.contains(&job)
+        self.cfg.mechanisms.has(Mechanism::SurplusLast) && self.shares.jobs.contains(&job)
     }
 
-    /// Notes a hand-in.
+    /// Counts a new job against the weight of its workspace.
     pub(super) fn take_hand_in(&mut self, ledger: &Ledger, id: JobId) {
         let Some(job) = ledger.jobs.get(&id) else {
             return;
@@ -59,12 +60,13 @@
             return;
         };
         if let Some(workspace) = ledger.workspace(owner) {
-            self.shares.take(id, owner, workspace.weight, job.accepted);
+            self.shares
+                .record(id, owner, workspace.weight, job.accepted);
         }
     }
 
-    /// The same for all jobs that are known, in the order in which they were handed in.
-    pub(super) fn restore_hand_ins(&mut self, ledger: &Ledger) {
+    /// Counts all jobs of the ledger, in the order of their submission.
+    pub(super) fn restore_submissions(&mut self, ledger: &Ledger) {
         let owned = ledger.jobs.iter().filter(|(_, job)| job.owner.is_some());
         let mut order: Vec<_> = owned.map(|(id, job)| (job.accepted, *id)).collect();
         order.sort_unstable();
@@ -72,6 +74,6 @@
             self.take_hand_in(ledger, id);
         }
         let is_open = |id: &JobId| ledger.job_state(*id).is_some_and(|s| !s.is_final());
-        self.shares.surplus.retain(is_open);
+        self.shares.jobs.retain(is_open);
     }
 }
--- a/src/batch/dispatch/speed.rs
+++ b/src/batch/dispatch/speed.rs
@@ -1,18 +1,19 @@
-//! How fast each minion is, learnt from the runs that ended well there.
+//! Speed of each minion, from the ratio of measured to declared run times of its successful runs.
 
 use std::time::Duration;
 
-/// Weight of a new run in a minion's mean. Declared times of short work are off by a fifth and
-/// more, so some twenty runs are needed to tell 0.8 from 1.0; a minion ends that many in seconds.
+/// Weight of a new run in a minion's moving average. Declared times of short work are off by 20%
+/// and more, so about 20 runs are needed to distinguish 0.8 from 1.0; a minion ends that many in
+/// seconds.
 const WEIGHT: f64 = 0.06;
-/// Weight in the mean over all minions.
+/// Weight of a new run in the moving average over all minions.
 const COMMON_WEIGHT: f64 = 0.004;
-/// Runs before a minion's own mean is believed.
-const ENOUGH: u32 = 8;
-/// Largest factor between declared and seen time that is believed of a single run.
-const LARGEST: f64 = 4.0;
+/// Runs needed before a minion's own average is used.
+const MIN_RUNS: u32 = 8;
+/// Limit on the ratio between declared and measured time, either way, for a single run.
+const MAX_RATIO: f64 = 4.0;
 
-/// Mean of the logarithm of seen by declared run time.
+/// Moving average of the logarithm of measured by declared run time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Pace {
     mean: f64,
@@ -20,34 +21,35 @@
 }
 
 impl Pace {
-    /// Takes a run in.
-    pub(super) fn learn(&mut self, declared: Duration, seen: Duration, weight: f64) {
-        if declared.is_zero() || seen.is_zero() {
+    /// Records a successful run.
+    pub(super) fn learn(&mut self, declared: Duration, measured: Duration, weight: f64) {
+        if declared.is_zero() || measured.is_zero() {
             return;
         }
-        let ratio = seen.as_secs_f64() / declared.as_secs_f64();
-        let sample = ratio.clamp(1.0 / LARGEST, LARGEST).ln();
+        let ratio = measured.as_secs_f64() / declared.as_secs_f64();
+        let sample = ratio.clamp(1.0 / MAX_RATIO, MAX_RATIO).ln();
         self.runs += 1;
         let weight = weight.max(1.0 / f64::from(self.runs));
         self.mean += (sample - self.mean) * weight;
     }
 }
 
-/// Speeds of all minions together.
+/// Average over the runs of all minions.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Common(Pace);
+pub(super) struct CommonPace(Pace);
 
-impl Common {
-    /// Takes a run on one minion in.
-    pub(super) fn learn(&mut self, own: &mut Pace, declared: Duration, seen: Duration) {
-        own.learn(declared, seen, WEIGHT);
-        self.0.learn(declared, seen, COMMON_WEIGHT);
+impl CommonPace {
+    /// Records a successful run, for its minion and for the average over all.
+    pub(super) fn learn(&mut self, own: &mut Pace, declared: Duration, measured: Duration) {
+        own.learn(declared, measured, WEIGHT);
+        self.0.learn(declared, measured, COMMON_WEIGHT);
     }
 
-    /// How many times longer than on the mean minion work takes, in three steps: the platform's
-    /// speeds differ by a quarter either way, and finer steps would only follow noise.
+    /// Speed class of a minion, by its run times relative to the average minion. Classes are
+    /// coarse: speeds on the platform differ by 25% either way, and finer classes would only follow
+    /// noise.
     pub(super) fn slowness(&self, own: &Pace) -> Slowness {
-        if own.runs < ENOUGH {
+        if own.runs < MIN_RUNS {
             return Slowness::Usual;
         }
         let factor = (own.mean - self.0.mean).exp();
@@ -60,15 +62,15 @@
     }
 }
 
-/// A minion's speed against the others'.
+/// Speed class of a minion relative to the average.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Slowness {
-    /// Clearly faster.
+    /// Run times below 0.9 of the average.
     Fast,
-    /// Like the mean, or not known yet.
+    /// Near the average, or not known yet.
     Usual,
-    /// Clearly slower.
+    /// Run times from 1.13 of the average.
     Slow,
-    /// So slow that something is wrong with it.
+    /// Run times from 1.9 of the average: the minion is probably faulty.
     VerySlow,
 }
