--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -1,8 +1,8 @@
-//! Slopes for docs/CAPACITY.md: what state, log, snapshot, feed and decisions cost as the cell
-//! grows, each at three sizes with a straight line through them.
+//! Slopes for docs/CAPACITY.md: cost of state, log, snapshot, feed and decisions by the size of the
+//! cell, each measured at three sizes with a straight line fitted to them.
 //!
 //! `cargo bench --bench capacity` prints a table. Bytes are exact and repeatable; times depend
-//! on the machine and on what else it does.
+//! on the machine and its other load.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,7 +17,7 @@
 use yuccahold::wire::{FeedDelta, JobSubmission, MinionAnnouncement, WorkerPoll};
 use yuccahold::workload::{RunEnd, TaskId, TaskRun, WorkerSpec};
 
-/// Counts the bytes that are allocated at the moment.
+/// Allocator that tracks the number of currently allocated bytes.
 struct Counting;
 
 static HEAP: AtomicUsize = AtomicUsize::new(0);
@@ -38,7 +38,7 @@
 #[global_allocator]
 static ALLOCATOR: Counting = Counting;
 
-/// Sizes measured; the last is the letter's.
+/// Measured sizes; the last is the required one.
 const WORKERS: [u32; 3] = [475, 950, 1_900];
 const TASKS_PER_WORKER: u32 = 18;
 const TASKS_PER_JOB: u32 = 10;
@@ -48,7 +48,7 @@
 const ZONES: u32 = 14;
 const START_UNIX: Duration = Duration::from_secs(1_800_000_000);
 
-/// One measured quantity over the sizes.
+/// One measured quantity at all sizes.
 struct Row {
     name: &'static str,
     unit: &'static str,
@@ -56,7 +56,7 @@
     points: Vec<(f64, f64)>,
 }
 
-/// A leader whose every command is agreed at once; counts what goes into the log.
+/// A leader whose commands are committed at once; counts the bytes that go into the log.
 struct Leader {
     machine: Machine<Scheduler>,
     now: Duration,
@@ -184,7 +184,7 @@
     format!("team-{number:03}")
 }
 
-/// Fills a cell with tasks and measures what it holds and what each start cost.
+/// Fills a cell with tasks and measures its memory and the cost of each start.
 fn measure_cell(workers: u32, rows: &mut [Row]) {
     let tasks = workers * TASKS_PER_WORKER;
     let x = f64::from(tasks);
@@ -197,7 +197,7 @@
     }
     let (log, lead, apply) = (leader.log_bytes, leader.lead_time, leader.apply_time);
     leader.starts = 0;
-    // About 22 starts in one entry: 1,100 a second at 50 looks a second.
+    // About 22 starts in one log entry: 1,100 starts and 50 decisions a second.
     leader.settle();
     let starts = leader.starts.max(1) as f64;
     rows[0]
@@ -220,7 +220,7 @@
     measure_rebuild(&snapshot, x, &mut rows[7..10]);
 }
 
-/// Bytes in the log for the ends of runs, reported worker by worker.
+/// Log bytes for the ends of runs, with one report per worker.
 fn measure_ends(leader: &mut Leader, row: &mut Row) {
     let before = leader.log_bytes;
     let reports: Vec<WorkerReport> = leader
@@ -245,7 +245,8 @@
         .push((ends as f64, (leader.log_bytes - before) as f64));
 }
 
-/// Memory of the state alone and time until a new leader has its placer.
+/// Memory of the state alone, time to restore a snapshot, and time to build a new leader's
+/// scheduler.
 fn measure_rebuild(snapshot: &[u8], x: f64, rows: &mut [Row]) {
     let before = HEAP.load(Ordering::Relaxed);
     let cell = Cell::from_bytes(snapshot).expect("the snapshot is decoded");
@@ -266,7 +267,7 @@
         .push((x, begun.elapsed().as_secs_f64() * 1e3));
 }
 
-/// Bytes of a worker's poll with its list of runs, and with the list left out.
+/// Bytes of a worker's poll with and without its list of runs.
 fn measure_poll(runs: u32, rows: &mut [Row]) {
     let running = (0..runs).map(|index| TaskRun {
         task: TaskId {
@@ -298,7 +299,7 @@
     rows[1].points.push((x, bytes(&poll) as f64));
 }
 
-/// Bytes and memory of the feed, and of the change of one minion.
+/// Memory and bytes of the feed, and time and bytes for the change of one minion.
 fn measure_feed(minions: u32, rows: &mut [Row]) {
     let mut cell = Cell::default();
     for number in 0..minions {
--- a/benches/dispatch.rs
+++ b/benches/dispatch.rs
@@ -1,7 +1,7 @@
-//! Processor time of a leader's decisions in cells of several sizes with the same load for each
-//! minion: some two starts a second, a policy service that lets a step run on one minion in two, and
-//! minions that answer within 2 ms. Time is simulated; what is measured is the time that the
-//! dispatcher and the ledger take.
+//! CPU time of a leader's decisions in cells of several sizes with the same load per minion: about
+//! two starts a second, a policy service that allows a step on every second minion, and minions
+//! that answer within 2 ms. Time is simulated; the measurement covers the dispatcher and the
+//! ledger.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -20,16 +20,16 @@
 };
 use yuccahold::resources::Resources;
 
-/// Numbers of minions: the users' grown and large cells, and the size that they expect.
+/// Numbers of minions: two sizes of the users' cells, and the size that they expect to reach.
 const SIZES: [u32; 3] = [350, 1_100, 1_904];
-/// Simulated seconds before the measured ones.
+/// Simulated seconds before the measurement.
 const WARM_UP: u64 = 10;
-/// Simulated seconds that are measured.
+/// Simulated seconds of the measurement.
 const MEASURED: u64 = 20;
-/// Jobs a second for each minion: quick ones and long ones, as the users' larger cells have them.
+/// Quick and long jobs per second and minion, as in the users' larger cells.
 const QUICK: f64 = 32.0 / 350.0;
 const LONG: f64 = 4.2 / 350.0;
-/// Minions for each process that asks the policy service.
+/// Minions per process that sends questions to the policy service.
 const MINIONS_PER_AGENT: u32 = 10;
 const UNIX: Duration = Duration::from_secs(1_700_000_000);
 
@@ -40,7 +40,7 @@
     Ended(u32, StartOrder),
     HoldOver(u32, u64),
     Advised(AdviceQuestion),
-    Look,
+    Tick,
 }
 
 #[derive(Default)]
@@ -48,7 +48,7 @@
     running: BTreeMap<(u64, u32, u16, u32), StartOrder>,
     ended: Vec<ListedEnd>,
     last: u64,
-    /// The hold that waits, when it was sent, and up to which end it has seen.
+    /// The pending hold: its number, when it was sent, and the last end that it acknowledges.
     hold: Option<(u64, Duration, u64)>,
     holds: u64,
 }
@@ -64,7 +64,7 @@
     pending: BTreeMap<u64, Event>,
     next: u64,
     jobs: u64,
-    spent: Duration,
+    busy_time: Duration,
     starts: u64,
     longest: Duration,
 }
@@ -116,7 +116,7 @@
             pending: BTreeMap::new(),
             next: 0,
             jobs: 0,
-            spent: Duration::ZERO,
+            busy_time: Duration::ZERO,
             starts: 0,
             longest: Duration::ZERO,
         };
@@ -127,7 +127,7 @@
         }
         cell.decide();
         cell.at(Duration::ZERO, Event::Arrival);
-        cell.at(Duration::ZERO, Event::Look);
+        cell.at(Duration::ZERO, Event::Tick);
         cell
     }
 
@@ -151,8 +151,8 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Look => {
-                self.at(Duration::from_millis(20), Event::Look);
+            Event::Tick => {
+                self.at(Duration::from_millis(20), Event::Tick);
                 self.decide();
             }
             Event::Arrival => {
@@ -191,7 +191,7 @@
                 let began = Instant::now();
                 let advice = Some(Advice { good });
                 self.leader.advised(self.now, question.id, advice);
-                self.spent += began.elapsed();
+                self.busy_time += began.elapsed();
                 self.decide();
             }
         }
@@ -232,7 +232,7 @@
         let began = Instant::now();
         self.ledger.apply(UNIX + self.now, command);
         self.leader.applied(self.now, &self.ledger, command, true);
-        self.spent += began.elapsed();
+        self.busy_time += began.elapsed();
     }
 
     fn decide(&mut self) {
@@ -241,7 +241,7 @@
             let batch = self.leader.decide(self.now, UNIX + self.now, &self.ledger);
             let orders = self.leader.take_orders();
             let took = began.elapsed();
-            self.spent += took;
+            self.busy_time += took;
             self.longest = self.longest.max(took);
             for order in orders {
                 self.carry_out(order);
@@ -252,7 +252,7 @@
     }
 
     fn carry_out(&mut self, order: Order) {
-        let trip = Duration::from_millis(2);
+        let round_trip = Duration::from_millis(2);
         match order {
             Order::Note(_) => {}
             Order::Advise(question) => self.at(question.cost, Event::Advised(question)),
@@ -267,7 +267,10 @@
                 let minion = self.minions.entry(target.minion).or_default();
                 minion.running.insert(key(&start), (*start).clone());
                 let sent = self.now;
-                self.at(trip, Event::Started(target.minion, (*start).clone(), sent));
+                self.at(
+                    round_trip,
+                    Event::Started(target.minion, (*start).clone(), sent),
+                );
                 self.at(length, Event::Ended(target.minion, *start));
             }
             Order::Minion(target, MinionOrder::Stop { task, run, .. }) => {
@@ -279,7 +282,7 @@
                     .cloned();
                 let sent = self.now;
                 self.at(
-                    trip,
+                    round_trip,
                     Event::Stopped(target.minion, OrderKind::Stop(task, run), sent),
                 );
                 if let Some(order) = stopped {
@@ -295,9 +298,9 @@
                 let wait = if minion.ended.is_empty() {
                     hold.wait
                 } else {
-                    trip
+                    round_trip
                 };
-                self.at(wait.max(trip), Event::HoldOver(target.minion, number));
+                self.at(wait.max(round_trip), Event::HoldOver(target.minion, number));
             }
         }
     }
@@ -348,7 +351,7 @@
         let began = Instant::now();
         self.leader
             .answered(self.now, number, &kind, sent, answer, &self.ledger);
-        self.spent += began.elapsed();
+        self.busy_time += began.elapsed();
         self.decide();
     }
 }
@@ -394,17 +397,17 @@
 fn measure(size: u32) {
     let mut cell = Cell::new(size);
     cell.run_until(Duration::from_secs(3600 + WARM_UP));
-    let (spent, starts, jobs) = (cell.spent, cell.starts, cell.jobs);
+    let (busy_time, starts, jobs) = (cell.busy_time, cell.starts, cell.jobs);
     cell.longest = Duration::ZERO;
     cell.run_until(Duration::from_secs(3600 + WARM_UP + MEASURED));
-    let spent = (cell.spent - spent).as_secs_f64();
+    let busy_time = (cell.busy_time - busy_time).as_secs_f64();
     let starts = cell.starts - starts;
     println!(
         "{size} minions, {:.0} jobs/s, {:.0} starts/s: {:.4} cores, {:.0} us a start, longest decision {:.2} ms",
         (cell.jobs - jobs) as f64 / MEASURED as f64,
         starts as f64 / MEASURED as f64,
-        spent / MEASURED as f64,
-        spent * 1e6 / starts as f64,
+        busy_time / MEASURED as f64,
+        busy_time * 1e6 / starts as f64,
         cell.longest.as_secs_f64() * 1e3,
     );
 }
--- a/tests/batch_departures.rs
+++ b/tests/batch_departures.rs
@@ -1,4 +1,5 @@
-//! Minions that end: how soon their tasks run elsewhere, by what is known of the end.
+//! Minions that leave or crash: how soon their tasks are restarted on other minions, depending on
+//! what the leader learns of the end.
 
 mod batch_world;
 
@@ -10,16 +11,16 @@
 };
 use yuccahold::batch::model::MinionNumber;
 
-/// Time that a minion's host takes no connections and refuses none: a call is given up after this.
+/// Timeout of a call to a host that neither accepts nor refuses connections.
 const CALL_TIMEOUT: Duration = ms(300);
-/// Time between two looks at the leader.
+/// Interval of simulated time between two decisions of the leader.
 const TICK: Duration = ms(10);
 
-/// Time beyond a hold's wait until the process that should have sent it counts as stuck.
-const STUCK_AGENT: Duration = ms(1_000);
+/// Time after a hold's wait at which the process that should have sent it counts as stuck.
+const STUCK_AGENT_TIMEOUT: Duration = ms(1_000);
 
-/// A lasting task may be away for nine seconds in all, six of them before anybody looks.
-const LONGEST_ABSENCE: Duration = ms(9_000);
+/// Longest downtime of a lasting task: 9 s in all, of which 6 s may pass before the leader reacts.
+const MAX_DOWNTIME: Duration = ms(9_000);
 
 fn long_leases() -> DispatchConfig {
     DispatchConfig {
@@ -29,7 +30,7 @@
     }
 }
 
-/// A minion with one lasting task, and another one with room for it.
+/// A minion with one lasting task, and another one with enough free resources for it.
 fn world_with_a_lasting_task() -> (World, MinionNumber, StartOrder) {
     let mut world = World::with(long_leases());
     let first = world.join("i-1", 1);
@@ -40,8 +41,8 @@
     (world, first, start)
 }
 
-/// Lets time pass while a minion answers each hold after its wait.
-fn works(world: &mut World, minion: MinionNumber, start: &StartOrder, span: Duration) {
+/// Advances time while a minion answers each hold after its wait. The last hold gets no answer.
+fn answer_holds(world: &mut World, minion: MinionNumber, start: &StartOrder, span: Duration) {
     let until = world.now + span;
     let mut due: Option<(Duration, Duration)> = None;
     while world.now < until {
@@ -63,23 +64,23 @@
         world.pass(TICK);
     }
     if let Some((sent, _)) = due {
-        lose(world, minion, sent);
+        lose_hold(world, minion, sent);
     }
 }
 
-fn lose(world: &mut World, minion: MinionNumber, sent: Duration) {
-    unanswered(world, minion, sent, Silence::Lost);
+fn lose_hold(world: &mut World, minion: MinionNumber, sent: Duration) {
+    leave_unanswered(world, minion, sent, Silence::Lost);
 }
 
-fn unanswered(world: &mut World, minion: MinionNumber, sent: Duration, silence: Silence) {
+fn leave_unanswered(world: &mut World, minion: MinionNumber, sent: Duration, silence: Silence) {
     let answer = HoldAnswer::Silent(silence);
     let (now, ledger) = (world.now, &world.ledger);
     world.leader.held(now, minion, sent, answer, ledger);
     world.decide();
 }
 
-/// Has a minion's host answer nothing any more; gives the time until its task is started elsewhere.
-fn away(world: &mut World, minion: MinionNumber) -> Duration {
+/// Makes a minion's host stop answering, and returns the time until its task is started elsewhere.
+fn time_to_restart(world: &mut World, minion: MinionNumber) -> Duration {
     let ended = world.now;
     let mut asked: Option<Duration> = None;
     while world.take_starts().is_empty() {
@@ -90,84 +91,83 @@
             asked = Some(world.now);
         }
         if let Some(sent) = asked.take_if(|sent| world.now >= *sent + CALL_TIMEOUT) {
-            lose(world, minion, sent);
+            lose_hold(world, minion, sent);
         }
         world.pass(TICK);
     }
     world.now - ended
 }
 
-/// One task of a lasting job has no run for 11.6 s, while room is there and nothing else is wrong.
+/// A task of a lasting job was down for 11.6 s, although another minion had free resources.
 ///
-/// Its minion says that it leaves, works on for some seconds, says that it ends, and ends. For the
-/// next 50 ms its host refuses connections; then it takes no notice of them. A leader whose call
-/// comes within the 50 ms knows at once that the task is over. One whose call comes later waited
-/// for the end of the longest lease, as if the minion had fallen silent without a word.
+/// Its minion reports that it is leaving, continues for some seconds, sends its final message, and
+/// ends. For the next 50 ms its host refuses connections; then it drops them. A leader whose call
+/// is refused within the 50 ms restarts the task at once. A leader that called later waited for the
+/// end of the longest lease, as for a minion that fails without a message.
 ///
-/// Seen in the leader's log: `minion left`, `minion silent` 52 ms later with `nothing`, and `minion
-/// gone` 11.4 s after the word, with the ten runs that it had.
+/// The leader's log then had `minion left`, 52 ms later `minion silent` with `nothing`, and 11.4 s
+/// after the final message `minion gone` with all ten runs of the minion.
 #[test]
-fn a_lasting_task_is_soon_back_when_its_minion_left_and_its_host_is_dark() {
+fn a_lasting_task_restarts_soon_when_its_minion_left_and_its_host_drops_calls() {
     let (mut world, minion, start) = world_with_a_lasting_task();
     world.leader.report(world.now, draining("i-1", 1));
-    works(&mut world, minion, &start, ms(9_500));
+    answer_holds(&mut world, minion, &start, ms(9_500));
     world.leader.left(world.now, &"i-1".into());
-    let away = away(&mut world, minion);
-    assert!(away < LONGEST_ABSENCE / 3, "away for {away:?}");
+    let downtime = time_to_restart(&mut world, minion);
+    assert!(downtime < MAX_DOWNTIME / 3, "down for {downtime:?}");
 }
 
-/// The same minion says that it ends and then goes on answering for a while. As long as it does, its
-/// task may still be at work there: a second run elsewhere would do the work twice.
+/// A minion sends its final message and still answers for a while. As long as it does, its task may
+/// still run there: a second run elsewhere would do the work twice.
 #[test]
-fn a_minion_that_still_answers_after_its_word_keeps_its_tasks() {
+fn a_minion_that_still_answers_after_its_final_message_keeps_its_tasks() {
     let (mut world, minion, start) = world_with_a_lasting_task();
     world.leader.report(world.now, draining("i-1", 1));
-    works(&mut world, minion, &start, ms(3_000));
+    answer_holds(&mut world, minion, &start, ms(3_000));
     world.leader.left(world.now, &"i-1".into());
-    works(&mut world, minion, &start, ms(5_000));
+    answer_holds(&mut world, minion, &start, ms(5_000));
     assert_eq!(world.take_starts(), []);
 }
 
-/// Calls that were sent before the word, or while the task may still be coming to its end, say
-/// nothing of the time after it.
+/// Calls that were sent before the final message, or while the task may still be stopping, are no
+/// evidence about the time after it.
 #[test]
-fn an_early_call_that_brings_nothing_is_no_proof_of_an_end() {
+fn an_early_unanswered_call_is_no_proof_of_an_end() {
     let (mut world, minion, _) = world_with_a_lasting_task();
     world.leader.report(world.now, draining("i-1", 1));
     world.leader.left(world.now, &"i-1".into());
     let just_before_the_end = world.now + ms(899);
-    lose(&mut world, minion, just_before_the_end);
-    lose(&mut world, minion, just_before_the_end);
+    lose_hold(&mut world, minion, just_before_the_end);
+    lose_hold(&mut world, minion, just_before_the_end);
     assert_eq!(world.take_starts(), []);
-    lose(&mut world, minion, just_before_the_end + ms(1));
+    lose_hold(&mut world, minion, just_before_the_end + ms(1));
     assert_eq!(world.take_starts().len(), 1);
 }
 
-/// A minion that has said that it ends works on for a while. One connection to it is reset, and then
-/// the process that calls it on the leader's behalf is killed with all its calls open. Neither says
-/// that the minion has ended.
+/// A minion that has sent its final message continues for a while. The process that calls it on the
+/// leader's behalf is killed with all its calls open, and one call to the minion is lost. Neither
+/// shows that the minion has ended.
 #[test]
 fn calls_that_were_not_made_are_no_proof_of_an_end() {
     let (mut world, minion, start) = world_with_a_lasting_task();
     world.leader.report(world.now, draining("i-1", 1));
     world.leader.left(world.now, &"i-1".into());
-    works(&mut world, minion, &start, ms(1_200));
+    answer_holds(&mut world, minion, &start, ms(1_200));
     for silence in [Silence::NotCalled, Silence::NotCalled, Silence::NotCalled] {
         let now = world.now;
-        unanswered(&mut world, minion, now, silence);
+        leave_unanswered(&mut world, minion, now, silence);
     }
     assert_eq!(world.take_starts(), []);
     world.list(minion, vec![listed(&start)], Vec::new());
     let now = world.now;
-    lose(&mut world, minion, now);
+    lose_hold(&mut world, minion, now);
     assert_eq!(world.take_starts(), []);
-    lose(&mut world, minion, now);
+    lose_hold(&mut world, minion, now);
     assert_eq!(world.take_starts().len(), 1);
 }
 
-/// A late report of an incarnation that crashed comes from the address of the one that took its
-/// place. The one at work is looked at, answers, and must go on getting work: it was once passed
-/// over for good, and asked again without a pause.
+/// A delayed report of a crashed incarnation has the address of its successor. The successor is
+/// called, answers, and must still get work: it got none any more, and was called without a pause.
 #[test]
 fn a_minion_that_answers_is_not_displaced_by_a_late_report() {
     let mut world = World::with(long_leases());
@@ -184,72 +184,74 @@
     assert_eq!(given, [minion]);
 }
 
-/// A minion crashes without a word. Its tasks may go on until its lease is over, and no longer: the
-/// time that its last answer had waited for an end was counted on top of the lease.
+/// A minion crashes without a message. Its tasks are restarted when its lease is over: the time for
+/// which its last answer had waited for an end was added to the lease.
 #[test]
-fn a_lasting_task_is_away_no_longer_than_the_lease_of_a_minion_that_crashed() {
+fn a_lasting_task_is_down_no_longer_than_the_lease_of_a_crashed_minion() {
     let (mut world, minion, start) = world_with_a_lasting_task();
-    works(&mut world, minion, &start, ms(4_100));
-    let away = away(&mut world, minion);
-    assert!(away < ms(10_300), "away for {away:?}");
+    answer_holds(&mut world, minion, &start, ms(4_100));
+    let downtime = time_to_restart(&mut world, minion);
+    assert!(downtime < ms(10_300), "down for {downtime:?}");
 }
 
-/// The same, but the word never arrives: all daemons that the minion tried were restarting.
+/// A leaving minion ends and its final message never arrives: all daemons that it tried were
+/// restarting.
 #[test]
-fn a_lasting_task_is_back_in_time_when_its_minion_left_without_a_word() {
+fn a_lasting_task_restarts_in_time_when_its_minion_left_without_a_message() {
     let (mut world, minion, start) = world_with_a_lasting_task();
     world.leader.report(world.now, draining("i-1", 1));
-    works(&mut world, minion, &start, ms(9_500));
-    let away = away(&mut world, minion);
-    assert!(away < LONGEST_ABSENCE * 2 / 3, "away for {away:?}");
+    answer_holds(&mut world, minion, &start, ms(9_500));
+    let downtime = time_to_restart(&mut world, minion);
+    assert!(downtime < MAX_DOWNTIME * 2 / 3, "down for {downtime:?}");
 }
 
-/// The same departure, but the word of the end is lost with the leader that had it: the next one has
-/// never heard from the minion and cannot know how long its lease is. It took the longest for it,
-/// and the task was away for more than ten seconds.
+/// A leaving minion ends and its final message is lost with the leader that received it. The new
+/// leader never had an answer of the minion and can't tell how long its lease is. It assumed the
+/// longest, and the task was down for more than 10 s.
 #[test]
-fn a_lasting_task_is_back_in_time_when_the_word_of_the_end_is_lost_with_the_leader() {
+fn a_lasting_task_restarts_in_time_when_the_final_message_is_lost_with_the_leader() {
     let (mut world, minion, start) = world_with_a_lasting_task();
     world.leader.report(world.now, draining("i-1", 1));
-    works(&mut world, minion, &start, ms(9_500));
+    answer_holds(&mut world, minion, &start, ms(9_500));
     world.leader.left(world.now, &"i-1".into());
     world.new_leader(2);
     world.answer_first_hold_of("i-2");
-    let away = away(&mut world, minion);
-    assert!(away < LONGEST_ABSENCE * 2 / 3, "away for {away:?}");
+    let downtime = time_to_restart(&mut world, minion);
+    assert!(downtime < MAX_DOWNTIME * 2 / 3, "down for {downtime:?}");
 }
 
-/// A minion's lease of 10 s was given by a leader that has failed. It says to the next one that it
-/// leaves, answers twice, gets a short lease, and is cut off. It works on for as long as the first
-/// leader let it: its task, started elsewhere once the short lease is over, would run twice.
+/// A minion has a lease of 10 s from a leader that has failed. It reports to the new one that it is
+/// leaving, answers twice, gets a short lease, and is disconnected. It continues until the end of
+/// the first lease: its task would run twice if it were started elsewhere at the end of the short
+/// one.
 #[test]
 fn a_short_lease_does_not_end_the_longer_one_of_an_earlier_leader() {
     let (mut world, minion, start) = world_with_a_lasting_task();
-    works(&mut world, minion, &start, ms(3_000));
+    answer_holds(&mut world, minion, &start, ms(3_000));
     let last_grant = world.now;
     world.new_leader(2);
     world.answer_first_hold_of("i-2");
     world.leader.report(world.now, draining("i-1", 1));
-    works(&mut world, minion, &start, ms(200));
+    answer_holds(&mut world, minion, &start, ms(200));
     let before = world.now - last_grant;
-    let after = away(&mut world, minion);
+    let after = time_to_restart(&mut world, minion);
     assert!(before + after >= ms(9_800), "started after {after:?}");
 }
 
-/// One hold to a minion that leaves is lost, and that shows only after 1.5 s, since the process that
-/// sent it is stuck. The minion answers the next one: what runs there must not have lapsed meanwhile.
+/// A hold to a leaving minion is lost, which is detected only after 1.5 s, because the process that
+/// sent it is stuck. The minion answers the next one: its lease must not have expired meanwhile.
 #[test]
-fn one_lost_hold_lets_nothing_lapse_on_a_minion_that_leaves() {
+fn one_lost_hold_does_not_expire_the_lease_of_a_leaving_minion() {
     let (mut world, minion, start) = world_with_a_lasting_task();
     world.leader.report(world.now, draining("i-1", 1));
-    works(&mut world, minion, &start, ms(12_000));
+    answer_holds(&mut world, minion, &start, ms(12_000));
     world.list(minion, vec![listed(&start)], Vec::new());
     let carried_out = hold_to(&mut world, minion);
     let lease_ends = carried_out.deadline.expect("the minion answers");
     world.pass(carried_out.wait);
     world.list(minion, vec![listed(&start)], Vec::new());
     let lost = hold_to(&mut world, minion);
-    world.pass(lost.wait + STUCK_AGENT);
+    world.pass(lost.wait + STUCK_AGENT_TIMEOUT);
     world.silent_hold(minion);
     world.list(minion, vec![listed(&start)], Vec::new());
     let next = hold_to(&mut world, minion);
@@ -258,18 +260,18 @@
     assert!(left > ms(1_000), "{left:?} left of the lease");
 }
 
-/// The hold that has just left for a minion.
+/// The hold that was just sent to a minion.
 fn hold_to(world: &mut World, minion: MinionNumber) -> HoldOrder {
     let holds = world.take_holds();
     let to_it = holds.into_iter().rfind(|(to, _)| *to == minion);
     to_it.expect("a hold is on the way").1
 }
 
-/// The report that the minion leaves is lost as well; its word of the end is all that arrives, and
-/// the leader fails right after it has passed that on. The next one hears from the minion once more
-/// and must not give it work.
+/// The report that a minion is leaving is lost; only its final message arrives, and the leader
+/// fails right after it has replicated that. The new leader gets one more answer of the minion and
+/// must not place work there.
 #[test]
-fn the_word_of_the_end_is_passed_on_to_the_next_leader() {
+fn the_final_message_is_replicated_to_the_next_leader() {
     let mut world = World::with(long_leases());
     world.join("i-1", 1);
     world.leader.left(world.now, &"i-1".into());
@@ -280,9 +282,9 @@
     assert_eq!(world.take_starts(), []);
 }
 
-/// A replica leads, loses the lead, and leads again. Then the answer to a hold of its first term
-/// comes. The minion may not have seen the present term: an order of the leader in between could
-/// still be carried out there, so the minion must not count as held.
+/// A replica leads, loses leadership, and leads again. Then the answer to a hold of its first term
+/// arrives. The minion may not have seen the current term: an order of the leader in between could
+/// still be carried out there, so the minion must not count as fenced.
 #[test]
 fn an_answer_to_a_hold_of_an_earlier_term_does_not_fence_its_minion() {
     let mut world = World::with(long_leases());
--- a/tests/batch_leases.rs
+++ b/tests/batch_leases.rs
@@ -1,4 +1,4 @@
-//! Leases of minions: what a leader believes of one that falls silent.
+//! Leases of minions, and what a leader concludes when a minion doesn't answer.
 
 mod batch_world;
 
@@ -10,9 +10,9 @@
 use yuccahold::batch::ledger::Command;
 use yuccahold::batch::model::{Configuration, Service};
 
-/// A minion falls silent and never comes back. The caller sees its lasting task gone; the leader
-/// keeps asking the minion. The questions must not grant further leases, or the leader would wait
-/// for ever for the end of a lease that it renews itself, and the task would never run again.
+/// A minion stops answering for good while the leader keeps sending holds to it. These must not
+/// extend the lease, or the leader would wait forever for the end of a lease that it renews itself,
+/// and the lasting task of the minion would never run again.
 #[test]
 fn a_silent_minion_is_given_up_once_its_lease_is_over() {
     let mut world = World::new();
@@ -41,9 +41,9 @@
     assert_eq!(restarted, Some((true, 2, true)));
 }
 
-/// One answer in twenty is lost on some days. Whoever waits for a lost answer to a hold does not
-/// learn of any end on that minion meanwhile, and the callers' next steps begin late. So the wait
-/// is short while short runs are under way, and the next look follows at once.
+/// On some days one answer in twenty is lost. While the leader waits for a lost answer to a hold,
+/// it learns of no end on that minion, and the next steps of the jobs there start late. So the wait
+/// is short while short runs are running, and the next hold follows at once.
 #[test]
 fn a_lost_answer_to_a_hold_hides_short_runs_only_briefly() {
     let mut world = World::new();
@@ -58,10 +58,10 @@
     assert_eq!((waits, again), (vec![ms(500)], vec![ms(0)]));
 }
 
-/// A minion is cut off and a start to it brings no answer; the hold on the way shows nothing for
-/// half a second yet. Tasks that come meanwhile must go elsewhere: each one given to the silent
-/// minion would be ordered four times and wait for its lease to end. Once the minion answers
-/// again it gets work as before.
+/// A minion is disconnected and a start order to it gets no answer; the pending hold will time out
+/// only half a second later. Tasks submitted meanwhile must be placed elsewhere: each start on the
+/// unreachable minion would be sent four times and then wait for the end of its lease. When the
+/// minion answers again, it gets work as before.
 #[test]
 fn a_minion_with_an_unanswered_start_gets_no_further_work() {
     let mut world = World::new();
@@ -82,9 +82,9 @@
     assert_eq!(given, [cut]);
 }
 
-/// A minion's list holds a row that can't be read, and a confirmed run is not among the others. The
-/// unreadable row may be that run, so its task is not started elsewhere; once the list is whole
-/// again and the run is not on it, the task is.
+/// A minion's listing has a row that can't be parsed, and a confirmed run is not among the other
+/// rows. The unreadable row may be that run, so its task is not started elsewhere until a complete
+/// listing lacks the run.
 #[test]
 fn a_run_that_an_unreadable_row_may_hide_is_not_started_again() {
     let mut world = World::new();
@@ -112,8 +112,8 @@
     }
 }
 
-/// A report names a service that no configuration has. Its sender may be no minion at all: it gets
-/// no call. Once a configuration names the service, it is held.
+/// A report names a service that is not configured. Its sender may not be a minion at all, so it
+/// isn't called. When a configuration adds the service, the minion gets a hold.
 #[test]
 fn a_minion_of_an_unknown_service_gets_no_calls() {
     let mut world = World::new();
--- a/tests/batch_placement.rs
+++ b/tests/batch_placement.rs
@@ -1,4 +1,5 @@
-//! Who is served first when the cell is full, and whose room is taken.
+//! Order of service and preemption in a full cell, and the effect of measured run times and
+//! failures on placement.
 
 mod batch_world;
 
@@ -14,8 +15,8 @@
     }
 }
 
-/// A burst of checks finds the cell full of plans. Plans that save their progress are stopped, and
-/// the checks start where they ended; plans that would lose their work go on.
+/// A burst of urgent checks arrives while the cell is full of plans. Plans that write checkpoints
+/// are preempted and the checks start in their place; plans that would lose their work continue.
 #[test]
 fn urgent_work_takes_the_room_of_work_that_saves_its_progress() {
     let mut world = World::new();
@@ -56,8 +57,8 @@
     );
 }
 
-/// The load is above the room. A check that is late already must not go before one that can still
-/// be in time: both would be late then.
+/// The load exceeds the capacity. A check that is already late must not go before one that can
+/// still be in time: then both would be late.
 #[test]
 fn work_that_can_be_in_time_goes_before_work_that_is_late() {
     let mut world = World::new();
@@ -73,8 +74,8 @@
     assert_eq!(started, [2]);
 }
 
-/// Two minions, one of which takes twice as long. After some runs the leader gives urgent work to
-/// the fast one first, although both have room.
+/// One of two minions takes twice as long. After some runs the leader prefers the fast one for
+/// urgent work, although both have free resources.
 #[test]
 fn urgent_work_goes_to_the_minion_that_proved_fast() {
     let mut world = World::new();
@@ -82,7 +83,7 @@
     let fast = world.join("i-fast", 2);
     let mut numbers = [0, 0];
     for round in 0..12 {
-        // Each fills a minion, so both run one.
+        // Each task takes a whole minion, so both run one.
         world.submit(100 + round, vec![step(2, 32_000)]);
         let starts = world.start_all();
         assert_eq!(starts.len(), 2);
@@ -110,7 +111,7 @@
 }
 
 /// A minion on which 24 plans were run: each took six seconds, whatever it had declared.
-fn plans_of_six_seconds() -> (World, MinionNumber) {
+fn world_with_six_second_plans() -> (World, MinionNumber) {
     let mut world = World::new();
     let minion = world.join("i-1", 1);
     for (i, declared) in [600, 12_000, 900, 10_000]
@@ -130,12 +131,12 @@
     (world, minion)
 }
 
-/// Declared times of plans are rough: most take six seconds, whatever they declare. One that
-/// declares a tenth of that would be late by its own word a second after it is handed in. It must
-/// not fall behind the plans that came after it, or it would wait for as long as new ones come.
+/// Declared times of plans are inaccurate: most take 6 s, whatever they declare. By its declared
+/// time, a plan that declares a tenth of that would be late a second after its submission. It must
+/// not be ordered behind later plans, or it would wait as long as new ones are submitted.
 #[test]
-fn a_job_that_declares_far_too_little_is_not_taken_for_late() {
-    let (mut world, minion) = plans_of_six_seconds();
+fn a_job_that_declares_far_too_little_does_not_count_as_late() {
+    let (mut world, minion) = world_with_six_second_plans();
     world.submit_to(101, plans(), vec![plan(12_000)]);
     let (_, running) = world.start_all().pop().expect("there is room");
     world.submit_to(102, plans(), vec![plan(600)]);
@@ -151,12 +152,12 @@
     assert_eq!(next, [102]);
 }
 
-/// Declared times of plans are rough. One declares seven times what all of them take. By its own
-/// word it would be due long after the plans that come behind it, and wait for as long as new ones
-/// come; it is served in its turn.
+/// Declared times of plans are inaccurate, and one plan declares seven times what all of them take.
+/// By its declared time it would be due long after later plans, and wait as long as new ones are
+/// submitted. It must run before them.
 #[test]
 fn a_job_that_declares_far_too_much_is_not_put_behind_all_others() {
-    let (mut world, minion) = plans_of_six_seconds();
+    let (mut world, minion) = world_with_six_second_plans();
     world.submit_to(101, plans(), vec![plan(6_000)]);
     let (_, running) = world.start_all().pop().expect("there is room");
     world.submit_to(102, plans(), vec![plan(43_000)]);
@@ -172,11 +173,11 @@
     assert_eq!(started, [102]);
 }
 
-/// A job of two tasks declares a tenth of what they take, and there is room for one at a time. After
-/// the first has ended the other is known to take as long, so the job is not late by its own word
-/// and goes before a plan that was handed in later.
+/// A job of two tasks declares a tenth of their run time, and only one fits at a time. After the
+/// first has ended, its run time replaces the declared one, so the job doesn't count as late and
+/// goes before a plan that was submitted later.
 #[test]
-fn a_job_is_judged_by_what_its_own_tasks_took() {
+fn lateness_of_a_job_uses_the_run_times_of_its_own_tasks() {
     let mut world = World::new();
     let minion = world.join("i-1", 1);
     let long = StepSpec {
@@ -202,12 +203,12 @@
     assert_eq!(started, [1]);
 }
 
-/// A lasting task fails by its own fault once a minute, on the only minion that may run it. Each
-/// time it has worked, so the minion is sound and the task must be back at once. Its failures were
-/// added up for ever, as only a run that is done cleared them: from the third on the task was away
-/// for 2, 4 and then 8 s each time.
+/// A lasting task fails by its own fault once a minute, on the only minion that may run it. It has
+/// worked each time, so the minion is healthy and the task must restart at once. Its failures were
+/// added up without end, because only a completed run reset the count: from the third failure on
+/// the task was down for 2, 4 and then 8 s.
 #[test]
-fn a_lasting_task_that_worked_before_it_failed_is_back_at_once() {
+fn a_lasting_task_that_worked_before_it_failed_restarts_at_once() {
     let mut world = World::new();
     let minion = world.join("i-1", 1);
     world.submit(JOB, vec![lasting(1, 1_000)]);
@@ -220,8 +221,8 @@
     }
 }
 
-/// The same task fails within a second each time: the minion fails all that it starts, and gets no
-/// work for a while.
+/// A lasting task fails within a second of each start. The minion may be failing everything, so it
+/// gets no work for a while.
 #[test]
 fn a_minion_on_which_lasting_tasks_fail_at_once_gets_no_work_for_a_while() {
     let mut world = World::new();
--- a/tests/batch_quota.rs
+++ b/tests/batch_quota.rs
@@ -1,4 +1,4 @@
-//! What a workspace has running stays within its limit.
+//! Resources of a workspace's runs stay within its limit.
 
 mod batch_world;
 
@@ -7,7 +7,7 @@
 use yuccahold::batch::dispatch::{Answer, ListedEnd, Silence, StartOrder};
 use yuccahold::batch::model::{EndKind, MinionNumber, StepSpec};
 
-/// A cell of eight minions with 32 cores each, where workspace `a` may have ten in use.
+/// A cell of eight minions with 32 cores each, where workspace `a` has a limit of ten cores.
 fn world() -> World {
     let mut world = World::new();
     world.join_all("i", 1..9);
@@ -15,7 +15,7 @@
     world
 }
 
-/// The first runs of those that were started on one minion end, and the others go on.
+/// Lists the first `count` runs of one minion as ended, and the others as running.
 fn end_first(world: &mut World, starts: &[(MinionNumber, StartOrder)], count: usize) {
     let (over, on) = starts.split_at(count);
     let minion = starts[0].0;
@@ -31,7 +31,8 @@
     world.list(minion, running.collect(), ended.collect());
 }
 
-/// A workspace gets more than it may have: within one step, over steps, or over jobs.
+/// Guards against starts above the limit: within one step, over several steps, or over several
+/// jobs.
 #[rstest]
 #[case::one_step(vec![vec![(20, 1000)]])]
 #[case::several_steps(vec![vec![(6, 1000), (6, 1000)]])]
@@ -53,7 +54,7 @@
     assert_eq!(world.take_starts().len(), 20, "no workspace, no limit");
 }
 
-/// Room of the limit is given again while a run may still be at work.
+/// Guards against reuse of a run's share of the limit while the run may still be active.
 #[test]
 fn a_run_that_is_being_stopped_counts() {
     let mut world = world();
@@ -66,7 +67,7 @@
     assert_eq!(world.take_starts().len(), 10);
 }
 
-/// A start without an answer may be carried out late, beside those that took its place.
+/// An unanswered start order may be carried out late, in addition to runs started in its place.
 #[test]
 fn a_start_in_doubt_counts() {
     let mut world = world();
@@ -81,7 +82,8 @@
     assert!(others.iter().all(|(_, other)| other.task == start.task));
 }
 
-/// The next leader knows nothing of what runs, and gives the limit a second time.
+/// Guards against a new leader that grants the whole limit again, because it has not heard yet what
+/// is running.
 #[test]
 fn the_next_leader_counts_what_runs() {
     let mut world = world();
@@ -97,7 +99,7 @@
     assert_eq!(world.take_starts().len(), 4);
 }
 
-/// A limit is lowered while starts are being agreed, and they leave all the same.
+/// A limit is lowered while starts are being committed; they must not be sent above the new limit.
 #[test]
 fn a_lowered_limit_holds_back_starts_that_are_being_agreed() {
     let mut world = world();
@@ -111,9 +113,9 @@
     assert!(world.take_starts().len() <= 1);
 }
 
-/// A start is repeated after the limit was lowered below what runs.
+/// An unanswered start order must not be repeated after the limit was lowered below the usage.
 #[test]
-fn a_lowered_limit_ends_the_tries_of_a_start() {
+fn a_lowered_limit_ends_the_retries_of_a_start() {
     let mut world = world();
     world.submit_for("a", JOB, queue(), vec![step(4, 1000)]);
     let (minion, start) = world.take_starts().pop().expect("a start");
@@ -123,7 +125,7 @@
     assert_eq!(world.take_stops().len(), 1);
 }
 
-/// A raised limit wakes nobody.
+/// Guards against a raised limit that triggers no placement.
 #[test]
 fn a_raised_limit_lets_waiting_work_start() {
     let mut world = world();
@@ -134,7 +136,7 @@
     assert_eq!(world.take_starts().len(), 2);
 }
 
-/// With its workspace its limit is gone, and its waiting work takes the cell.
+/// Guards against waiting jobs of a removed workspace that fill the cell without a limit.
 #[test]
 fn the_limit_of_a_removed_workspace_stays_while_it_has_jobs() {
     let mut world = world();
@@ -147,7 +149,7 @@
     assert_eq!(world.take_starts().len(), 0, "all is in use");
 }
 
-/// A gang starts in part, or past the limit.
+/// Guards against a gang that starts in part or exceeds the limit.
 #[rstest]
 #[case::fits(10, 10)]
 #[case::too_wide(11, 0)]
@@ -157,9 +159,9 @@
     assert_eq!(world.take_starts().len(), started);
 }
 
-/// Small tasks take each part of the limit as it comes free, and a gang waits without end.
+/// Guards against a gang that never starts, because small tasks take each freed part of the limit.
 #[test]
-fn a_gang_at_the_limit_is_not_passed_over() {
+fn a_gang_at_the_limit_is_not_starved() {
     let mut world = world();
     world.submit_for("a", JOB, queue(), vec![step(10, 1000)]);
     let running = world.start_all();
@@ -180,20 +182,22 @@
     );
 }
 
-/// Work that can never run under the limit keeps all other work of its workspace waiting.
+/// Guards against work that can never run under the limit and blocks all other work of its
+/// workspace.
 #[rstest]
 #[case::too_wide(vec![gang(11, 1000)])]
 #[case::too_large(vec![step(1, 11_000)])]
-fn what_cannot_run_keeps_nothing(#[case] steps: Vec<StepSpec>) {
+fn work_that_cannot_run_reserves_nothing(#[case] steps: Vec<StepSpec>) {
     let mut world = world();
     world.submit_for("a", JOB, queue(), steps);
     world.submit_for("a", JOB + 1, plans(), vec![saving(4, 1000)]);
     assert_eq!(world.take_starts().len(), 4);
 }
 
-/// Lasting work fills the limit for good, and what would need that part of it blocks the rest.
+/// Lasting tasks use part of the limit for good. Guards against a gang that needs that part and
+/// blocks the rest of the workspace.
 #[test]
-fn what_waits_for_lasting_work_keeps_nothing() {
+fn work_that_waits_for_lasting_tasks_reserves_nothing() {
     let mut world = world();
     world.submit_for("a", JOB, queue(), vec![lasting(5, 1000)]);
     world.start_all();
@@ -202,9 +206,9 @@
     assert_eq!(world.take_starts().len(), 5);
 }
 
-/// Work of a workspace at its limit keeps room of minions from others.
+/// Guards against work of a workspace at its limit that reserves resources of minions.
 #[test]
-fn work_at_its_limit_keeps_no_room_of_minions() {
+fn work_at_its_limit_reserves_nothing_on_minions() {
     let mut world = World::new();
     world.join("i-1", 1);
     world.limit(1, &[("a", 10), ("b", 100)]);
@@ -215,11 +219,12 @@
     assert_eq!(world.take_starts().len(), 22);
 }
 
-/// Urgent work waits while long work of its own workspace, which loses nothing by a stop, fills the limit.
+/// Guards against urgent work that waits while the limit is used up by long work of its own
+/// workspace that could be preempted without loss.
 #[rstest]
 #[case::saves_progress(saving(10, 1000), 2)]
 #[case::would_lose_its_work(step(10, 1000), 0)]
-fn urgent_work_takes_the_limit_over_from_its_own_workspace(
+fn urgent_work_preempts_work_of_its_own_workspace_at_the_limit(
     #[case] long: StepSpec,
     #[case] stopped: usize,
 ) {
--- a/tests/batch_quota_faults.rs
+++ b/tests/batch_quota_faults.rs
@@ -1,5 +1,5 @@
-//! Limits of workspaces under faults: leaders that change, minions that crash, orders that are carried
-//! out late, limits that are lowered.
+//! Limits of workspaces under faults: changes of leader, crashes of minions, orders that are
+//! carried out late, and lowered limits.
 
 mod batch_world;
 
@@ -28,8 +28,8 @@
     }
 }
 
-/// Plays one seed; gives the starts and the part of the highest limit that was in use at the most.
-fn play(seed: u64) -> (usize, f64) {
+/// Runs one seed; returns the number of starts and the peak usage as a part of the highest limit.
+fn run_seed(seed: u64) -> (usize, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut cell = Cell::new(0..6);
     let mut limits = [40, 20];
@@ -88,11 +88,11 @@
     )
 }
 
-/// A workspace has more running than its limit, by what its minions see.
+/// Guards against workspaces whose active runs, as counted on the minions, exceed their limits.
 #[test]
 fn limits_hold_under_faults() {
     for seed in SEEDS {
-        let (starts, used) = play(seed);
+        let (starts, used) = run_seed(seed);
         assert!(starts > 50 && used > 0.2, "seed {seed}: {starts}, {used}");
     }
 }
--- a/tests/batch_restarts.rs
+++ b/tests/batch_restarts.rs
@@ -1,4 +1,4 @@
-//! Minions that start again under the name that they had.
+//! Minions that restart under the same id.
 
 mod batch_world;
 
@@ -12,7 +12,7 @@
 use yuccahold::batch::model::{JobId, JobState, MinionReport, Readiness, StepSpec};
 use yuccahold::resources::Resources;
 
-/// Hosts whose minions keep their names and are back soon after a crash.
+/// A cell whose minions keep their ids and restart 100 ms after a crash.
 fn cell(ports: std::ops::Range<u16>) -> Cell {
     let mut cell = Cell::new(ports);
     cell.restart = Restart::SameName;
@@ -20,8 +20,8 @@
     cell
 }
 
-/// Jobs that occupy the cell until `jobs` of them are done.
-fn work(cell: &mut Cell, first: JobId, jobs: u64) {
+/// Submits `jobs` jobs at intervals of 150 ms and gives them 3 s to complete.
+fn run_jobs(cell: &mut Cell, first: JobId, jobs: u64) {
     for job in first..first + jobs {
         cell.submit(job, vec![step(4, 2_000)]);
         cell.run(ms(150));
@@ -33,19 +33,20 @@
     (first..first + jobs).map(|job| cell.state(job)).collect()
 }
 
-/// Ends of the new life are taken although their numbers were seen before.
+/// End numbers restart at 1 in each incarnation. Guards against ends of the new incarnation that
+/// are ignored because their numbers were seen before.
 #[rstest]
 #[case::lists_come_at_once(ms(0))]
 #[case::lists_come_late(ms(300))]
 fn ends_after_a_restart_are_taken(#[case] late: Duration) {
     let mut cell = cell(1..3);
     cell.lists_late_by = late;
-    work(&mut cell, JOB, 10);
+    run_jobs(&mut cell, JOB, 10);
     cell.crash(1);
     cell.crash(2);
     cell.run(ms(400));
     let second = JOB + 100;
-    work(&mut cell, second, 4);
+    run_jobs(&mut cell, second, 4);
     assert_eq!(states(&cell, second, 4), [Some(JobState::Done); 4]);
     let starts = cell.starts.iter().filter(|(t, _)| t.step.job >= second);
     let starts: Vec<_> = starts.map(|(_, n)| *n).collect();
@@ -53,11 +54,11 @@
     assert_eq!(cell.broken, [""; 0]);
 }
 
-/// Tasks that ran on the life before run again at once, and not twice.
+/// Tasks that ran on the old incarnation are restarted at once, and not twice.
 #[rstest]
 #[case::nobody_reports_meanwhile(ms(100))]
 #[case::the_lease_would_last(ms(2_000))]
-fn tasks_of_a_minion_that_started_again_run_elsewhere_soon(#[case] away: Duration) {
+fn tasks_of_a_restarted_minion_run_again_soon(#[case] away: Duration) {
     let mut cell = cell(1..4);
     cell.away = away;
     cell.submit(JOB, vec![lasting(6, 4_000)]);
@@ -65,7 +66,7 @@
     cell.run(ms(2_000));
     cell.crash(1);
     let task = |i| first_step(JOB).task(i);
-    let back = cell.run_until("all to be at work", |cell| {
+    let back = cell.run_until("all tasks to be running", |cell| {
         (0..6).all(|i| cell.ports_of(task(i)).len() == 1)
     });
     assert!(back < away + ms(800), "{back:?}");
@@ -74,12 +75,12 @@
     assert_eq!(cell.broken, [""; 0]);
 }
 
-/// A start that the life before left unanswered may be carried out by the one that follows.
+/// A start order that the old incarnation left unanswered may be carried out by the new one.
 #[rstest]
 #[case::before_it_is_known(ms(150))]
 #[case::soon_after(ms(300))]
 #[case::much_later(ms(2_000))]
-fn an_order_of_before_that_the_new_life_carries_out_runs_nothing_twice(#[case] late: Duration) {
+fn an_order_to_the_old_incarnation_runs_nothing_twice_on_the_new_one(#[case] late: Duration) {
     let mut cell = cell(1..4);
     cell.run(ms(1_000));
     cell.starts_late_by = late;
@@ -94,17 +95,17 @@
     assert_eq!(cell.broken, [""; 0]);
 }
 
-/// Minions start again while nobody leads, or while the leader that knew them is replaced.
+/// Minions restart shortly before, during or after a change of leader.
 #[rstest]
 #[case::the_crash_is_before_the_change(ms(50), ms(0))]
 #[case::the_crash_is_after_the_change(ms(0), ms(50))]
 #[case::both_at_once(ms(0), ms(0))]
-fn a_new_leader_tells_the_lives_of_a_minion_apart(
+fn a_new_leader_distinguishes_the_incarnations_of_a_minion(
     #[case] before: Duration,
     #[case] after: Duration,
 ) {
     let mut cell = cell(1..4);
-    work(&mut cell, JOB, 10);
+    run_jobs(&mut cell, JOB, 10);
     cell.submit(JOB + 20, vec![saving(8, 4_000)]);
     cell.run(ms(500));
     if !before.is_zero() {
@@ -117,16 +118,16 @@
         cell.crash(1);
     }
     cell.run(ms(500));
-    work(&mut cell, JOB + 30, 6);
+    run_jobs(&mut cell, JOB + 30, 6);
     cell.run(ms(20_000));
     assert_eq!(states(&cell, JOB + 30, 6), [Some(JobState::Done); 6]);
     assert_eq!(cell.state(JOB + 20), Some(JobState::Done));
     assert_eq!(cell.broken, [""; 0]);
 }
 
-/// Reports of the life before that were delayed on their way change nothing.
+/// A delayed report of the old incarnation has no effect.
 #[test]
-fn a_late_report_of_the_life_before_is_not_believed() {
+fn a_late_report_of_the_old_incarnation_is_ignored() {
     let mut cell = cell(1..2);
     cell.run(ms(3_000));
     let late = cell.report_of(1).expect("it is up");
@@ -149,9 +150,9 @@
     assert_eq!(cell.broken, [""; 0]);
 }
 
-/// Reports of a new life count although their numbers start anew.
+/// Reports of a new incarnation are accepted although their sequence numbers restart.
 #[test]
-fn a_report_of_the_new_life_is_believed() {
+fn a_report_of_the_new_incarnation_is_accepted() {
     let mut cell = cell(1..2);
     cell.run(ms(10_000));
     cell.crash(1);
@@ -163,11 +164,12 @@
     assert_eq!(cell.broken, [""; 0]);
 }
 
-/// A minion that started again gets no work before it has said what it is, and then all that fits.
+/// A restarted minion gets no work before its first report, because its capacity may have changed,
+/// and gets work afterwards.
 #[rstest]
 #[case::it_stayed(Readiness::Ready)]
 #[case::it_was_leaving(Readiness::Draining { remaining: None })]
-fn a_minion_that_started_again_gets_work_once_it_has_reported(#[case] readiness: Readiness) {
+fn a_restarted_minion_gets_work_after_its_first_report(#[case] readiness: Readiness) {
     let mut cell = cell(1..2);
     cell.submit(JOB, vec![lasting(1, 1_000)]);
     cell.run(ms(1_000));
@@ -189,9 +191,10 @@
     assert_eq!((before, after), (0, 1));
 }
 
-/// Tasks of a minion that started again and then fell silent are back once its lease is over.
+/// Tasks of a minion that restarted and then stopped answering run elsewhere once its lease is
+/// over.
 #[test]
-fn a_minion_that_starts_again_and_is_lost_keeps_its_tasks_no_longer_than_a_lease() {
+fn a_minion_lost_after_a_restart_keeps_its_tasks_no_longer_than_a_lease() {
     let mut cell = cell(1..3);
     cell.submit(JOB, vec![lasting(1, 1_000)]);
     cell.run(ms(2_500));
@@ -211,13 +214,13 @@
     assert!(back < ms(7_000), "{back:?}");
 }
 
-/// A task that crashes its minion is given up also where the minion keeps its name.
+/// A task that crashes its minions is given up also if they keep their ids.
 #[rstest]
 #[case::its_start_is_answered(StartAnswer::Delivered, ms(3_000))]
 #[case::the_answer_is_lost(StartAnswer::Lost, ms(3_000))]
 #[case::the_minion_is_back_soon(StartAnswer::Delivered, ms(500))]
 #[case::back_soon_and_the_answer_is_lost(StartAnswer::Lost, ms(500))]
-fn a_task_that_crashes_minions_which_keep_their_names_is_given_up(
+fn a_task_that_crashes_minions_with_the_same_id_is_given_up(
     #[case] answer: StartAnswer,
     #[case] away: Duration,
 ) {
@@ -234,24 +237,24 @@
     assert_eq!(cell.broken, [""; 0]);
 }
 
-/// Whatever starts again when, nothing runs twice and everything is done.
+/// With restarts and other faults at random times, no task runs twice and every job ends.
 #[test]
 fn restarts_at_random_lose_nothing_and_run_nothing_twice() {
     for seed in 1..=40 {
-        play_restarts(seed);
+        run_random_restarts(seed);
     }
 }
 
-/// Starts that are carried out late, on minions that crash meanwhile, do not end their job.
+/// Starts that are carried out late, on minions that crash meanwhile, don't make their job fail.
 #[rstest]
 #[case::done_before_the_crash(124)]
 #[case::ordered_on_four_minions_that_were_lost(311)]
 #[case::ordered_before_a_change_of_leaders(367)]
 fn a_job_is_not_given_up_for_starts_that_did_not_crash_their_minions(#[case] seed: u64) {
-    play_restarts(seed);
+    run_random_restarts(seed);
 }
 
-fn play_restarts(seed: u64) {
+fn run_random_restarts(seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut cell = cell(1..9);
     let mut term = 1;
--- a/tests/batch_shares.rs
+++ b/tests/batch_shares.rs
@@ -1,4 +1,5 @@
-//! What callers of one workspace get while another one sends more than it may count on.
+//! Waiting times of a workspace within its weight while another one submits more than its own
+//! weight.
 
 mod batch_world;
 
@@ -10,15 +11,17 @@
 use yuccahold::batch::model::JobId;
 
 const TICK: Duration = ms(20);
-/// Time between two jobs of a workspace that sends what it may count on, 4 a second.
-const PACE: u32 = 250;
+/// Interval between two jobs of a workspace that submits exactly its weight, 4 a second; in ms.
+const INTERVAL_MS: u32 = 250;
 const LENGTH: Duration = ms(20_000);
-/// What the objective of these jobs leaves to spare: 1.5 times a run of a second, and 250 ms.
-const SPARE: Duration = ms(750);
-/// Jobs of the workspace within its weight have even ids.
+/// Longest wait with which these jobs still meet their objective of 1.5 times a run of 1 s plus 250
+/// ms.
+const SLACK: Duration = ms(750);
+/// First job id; jobs of the workspace within its weight have even ids.
 const FIRST: JobId = 1_000;
 
-/// Waits of a workspace that keeps within its weight, beside one that sends `times` as much as its own.
+/// Sorted waiting times of a workspace that submits exactly its weight, while another one submits
+/// `times` its weight.
 fn waits(times: u32) -> Vec<Duration> {
     let mut world = World::new();
     world.join_all("i", 1..3);
@@ -30,7 +33,7 @@
     let mut sent = 0;
     while world.now < begun + LENGTH {
         let passed = (world.now - begun).as_millis() as u32;
-        while sent * PACE <= passed * times.max(1) {
+        while sent * INTERVAL_MS <= passed * times.max(1) {
             if sent % times.max(1) == 0 {
                 handed_in.insert(next, world.now);
                 world.submit_for("calm", next, queue(), vec![step(6, 1_000)]);
@@ -59,7 +62,8 @@
     waits
 }
 
-/// One workspace sends ten times what it may count on, and the work of another one waits behind it.
+/// One workspace submits ten times its weight. Guards against jobs of another workspace, which is
+/// within its weight, that wait behind the excess.
 #[test]
 fn a_workspace_within_its_weight_is_served_as_if_alone() {
     let alone = waits(0);
@@ -67,5 +71,5 @@
     assert_eq!(beside.len(), alone.len());
     let longest = |waits: &[Duration]| waits.last().copied().expect("it sends");
     assert!(longest(&alone) <= TICK, "{alone:?}");
-    assert!(longest(&beside) <= SPARE, "{beside:?}");
+    assert!(longest(&beside) <= SLACK, "{beside:?}");
 }
--- a/tests/batch_waits.rs
+++ b/tests/batch_waits.rs
@@ -1,4 +1,4 @@
-//! How long work that may start can be passed over by other work.
+//! Bounds on the time for which ready work waits behind other work.
 
 mod batch_world;
 
@@ -13,42 +13,43 @@
 use yuccahold::batch::model::{AdviceTerms, JobId, MinionNumber, Queue, StepId, StepSpec, TaskId};
 use yuccahold::ids::MinionId;
 
-/// Time between two steps of a played load.
+/// Interval of simulated time between two decisions of the leader.
 const TICK: Duration = ms(20);
-/// A step whose turn has come, with room for it, is asked about within this time.
+/// Bound on the time until the policy service is asked about a ready step that would fit.
 const ASKED_WITHIN: Duration = ms(3_000);
-/// A lasting task that lost its run has another one within this time, however full the cell is;
+/// Bound on the time until a lasting task that lost its run is restarted, however full the cell is;
 /// from the platform's contract.
 const RESTARTED_WITHIN: Duration = ms(6_000);
 
-/// The policy service: one question at a time for each asker, answered after its cost.
+/// Simulated policy service: each asker has one question answered at a time, after the question's
+/// cost.
 struct Policy {
-    /// Part of the minions that may run a step.
-    let_in: f64,
+    /// Part of the minions that are allowed for a step.
+    allowed_part: f64,
     askers: Vec<VecDeque<AdviceQuestion>>,
-    /// When the first question of each asker will be answered.
+    /// Time of the answer to the first question of each asker.
     until: Vec<Duration>,
-    /// When each step was first asked about.
+    /// Time of the first question about each step.
     first_asked: BTreeMap<StepId, Duration>,
 }
 
 impl Policy {
     fn new(askers: usize) -> Self {
         Self {
-            let_in: 1.0,
+            allowed_part: 1.0,
             askers: vec![VecDeque::new(); askers],
             until: vec![Duration::ZERO; askers],
             first_asked: BTreeMap::new(),
         }
     }
 
-    fn lets_in(&self, step: StepId, minion: &MinionId) -> bool {
+    fn allows(&self, step: StepId, minion: &MinionId) -> bool {
         let mut hasher = DefaultHasher::new();
         (step, minion).hash(&mut hasher);
-        (hasher.finish() % 1_000) as f64 <= self.let_in * 1_000.0
+        (hasher.finish() % 1_000) as f64 <= self.allowed_part * 1_000.0
     }
 
-    /// Takes new questions and answers those whose time has come.
+    /// Accepts new questions and answers those that are due.
     fn serve(&mut self, world: &mut World) {
         for question in world.take_questions() {
             let asked = self.first_asked.entry(question.id.step);
@@ -67,7 +68,7 @@
                     self.until[asker] += next.cost;
                 }
                 let named = question.minions.iter();
-                let good = named.filter(|m| self.lets_in(question.id.step, m));
+                let good = named.filter(|m| self.allows(question.id.step, m));
                 let good = good.map(|m| (m.clone(), "ticket".into())).collect();
                 let advice = Some(Advice { good });
                 world.leader.advised(world.now, question.id, advice);
@@ -91,14 +92,14 @@
     advised(queue(), 50, 1)
 }
 
-fn long() -> Queue {
+fn long_work() -> Queue {
     advised(plans(), 500, 7)
 }
 
 fn renders() -> Queue {
     Queue {
         priority: 1,
-        ..long()
+        ..long_work()
     }
 }
 
@@ -112,14 +113,14 @@
     advised(ledgers, 400, 6)
 }
 
-/// What fills a cell.
+/// Load that fills the cell.
 #[derive(Clone, Copy)]
-enum Beside {
+enum Load {
     ShortUrgent,
     LongSaving,
 }
 
-impl Beside {
+impl Load {
     fn job(self) -> (Queue, StepSpec) {
         match self {
             Self::ShortUrgent => (urgent(), step(1, 7_000)),
@@ -128,15 +129,16 @@
                     estimate: ms(20_000),
                     ..saving(12, 7_000)
                 };
-                (long(), long_saving)
+                (long_work(), long_saving)
             }
         }
     }
 }
 
-/// Urgent work without room does not use up all questions for good.
+/// Urgent steps that don't fit ask again whenever their tickets expire. Guards against these
+/// questions using up the limit, so that late jobs that would fit are never asked about.
 #[test]
-fn late_jobs_with_room_are_asked_about_beside_a_flood_of_urgent_ones() {
+fn late_jobs_that_fit_are_asked_about_beside_many_urgent_ones() {
     const LATE: std::ops::Range<JobId> = 100..110;
     let mut world = World::new();
     let (mut policy, mut cell) = (Policy::new(16), Cell::default());
@@ -148,7 +150,7 @@
         world.submit_to(job, queue, vec![step(1, 20_000)]);
     }
     for job in LATE {
-        world.submit_to(job, long(), vec![step(1, 1_000)]);
+        world.submit_to(job, long_work(), vec![step(1, 1_000)]);
     }
     let handed_in = world.now;
     while world.now < handed_in + ms(12_000) {
@@ -162,27 +164,27 @@
         .map(|job| policy.first_asked.get(&first_step(job)))
         .map(|asked| asked.map(|at| *at - handed_in))
         .collect();
-    let in_time = |wait: &Option<Duration>| wait.is_some_and(|wait| wait <= ASKED_WITHIN);
-    assert!(waits.iter().all(in_time), "{waits:?}");
+    let is_in_time = |wait: &Option<Duration>| wait.is_some_and(|wait| wait <= ASKED_WITHIN);
+    assert!(waits.iter().all(is_in_time), "{waits:?}");
     let started = |job: JobId| cell.started.iter().any(|(_, t)| t.step.job == job);
     assert!(LATE.clone().all(started));
 }
 
-/// Lasting tasks get room back within the bound, however full the cell is.
+/// Lasting tasks that lost their runs restart within the bound, however full the cell is.
 #[rstest]
-#[case::more_than_half_of_a_minion(18_000, Beside::ShortUrgent)]
-#[case::nearly_all_of_it(26_000, Beside::ShortUrgent)]
-#[case::all_of_it(32_000, Beside::ShortUrgent)]
-#[case::beside_long_work_that_saves_progress(26_000, Beside::LongSaving)]
-fn lasting_tasks_that_lost_their_runs_are_back_in_a_full_cell(
+#[case::more_than_half_of_a_minion(18_000, Load::ShortUrgent)]
+#[case::nearly_all_of_it(26_000, Load::ShortUrgent)]
+#[case::all_of_it(32_000, Load::ShortUrgent)]
+#[case::beside_long_work_that_saves_progress(26_000, Load::LongSaving)]
+fn lasting_tasks_that_lost_their_runs_restart_in_a_full_cell(
     #[case] cores: u32,
-    #[case] beside: Beside,
+    #[case] load: Load,
 ) {
     const LASTING: JobId = 1;
     const FIRST: JobId = 100;
     let mut world = World::new();
     let (mut policy, mut cell) = (Policy::new(8), Cell::default());
-    policy.let_in = 0.5;
+    policy.allowed_part = 0.5;
     world.leader.set_agents(8);
     let mut ids = BTreeMap::new();
     for i in 0..48 {
@@ -192,9 +194,9 @@
     world.submit_to(LASTING, lasting_queue(), vec![one_each(8, cores)]);
     let takes = |start: &StartOrder| {
         let draw = start.task.step.job.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33;
-        let time = match beside {
-            Beside::ShortUrgent => 500 + draw % 2_500,
-            Beside::LongSaving => 15_000 + draw % 15_000,
+        let time = match load {
+            Load::ShortUrgent => 500 + draw % 2_500,
+            Load::LongSaving => 15_000 + draw % 15_000,
         };
         (start.task.step.job != LASTING).then(|| ms(time))
     };
@@ -205,7 +207,7 @@
         let started: BTreeSet<_> = cell.started.iter().map(|(_, t)| t.step.job).collect();
         let waiting = (FIRST..next).filter(|job| !started.contains(job)).count();
         for _ in waiting..24 {
-            let (queue, step) = beside.job();
+            let (queue, step) = load.job();
             world.submit_to(next, queue, vec![step]);
             next += 1;
         }
@@ -238,10 +240,11 @@
         waits.iter().all(|wait| *wait <= RESTARTED_WITHIN),
         "{waits:?}"
     );
-    // A lasting task takes the room of four of these tasks at most, and is not given it twice.
-    let expected = match beside {
-        Beside::ShortUrgent => 0..=0,
-        Beside::LongSaving => 1..=32,
+    // A lasting task needs the resources of four of these tasks at most, and they are freed only
+    // once.
+    let expected = match load {
+        Load::ShortUrgent => 0..=0,
+        Load::LongSaving => 1..=32,
     };
     assert!(expected.contains(&cell.stopped), "{} stopped", cell.stopped);
 }
