--- a/src/batch/dispatch/objective.rs
+++ b/src/batch/dispatch/objective.rs
@@ -17,8 +17,7 @@
 /// workspace, may run in several waves, and its objective allows for them; from the platform's
 /// contract.
 const WAVE_SHARE: f64 = 0.25;
-/// Age up to which the computed capacities are used again; minions join and leave every few
-/// seconds.
+/// Age up to which the computed capacities are used again; minions join and leave within seconds.
 const CAPACITY_MAX_AGE: Duration = Duration::from_secs(1);
 
 /// Mean run time of the tasks of a step that have succeeded.
--- a/src/batch/dispatch/quota.rs
+++ b/src/batch/dispatch/quota.rs
@@ -38,7 +38,7 @@
 pub(super) enum LimitState {
     /// The step may start.
     Open,
-    /// The step waits for the limit, and has the rest of the limit reserved for it.
+    /// The step waits for the limit, and has what it needs of the limit reserved.
     First,
     /// The step waits for the limit behind another step, or can't start while lasting tasks run.
     Blocked,
--- a/src/batch/dispatch/run.rs
+++ b/src/batch/dispatch/run.rs
@@ -44,8 +44,8 @@
     Due(Timestamp),
     /// The order was sent and is not answered yet.
     Sent,
-    /// The minion confirmed the order at this time: the run ends when the minion lists its end, and
-    /// will never start if it hadn't.
+    /// The minion confirmed the order at this time: the run counts as ended when the minion lists
+    /// its end, and will never start if it hadn't started before.
     Confirmed(Timestamp),
 }
 
