--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -1,6 +1,6 @@
-//! Decisions a second and time per decision at 50, 500 and 1,900 workers, for the scheduler
-//! and both baselines: each step ends one run of a cell that is nine tenths full, lets one task
-//! arrive and decides. `decide` and the two events before it are timed together.
+//! Decisions per second and time per decision at 50, 500 and 1,900 workers, for the scheduler and
+//! both baselines. Each step ends one run in a cell that is 90% full, adds a job of one task and
+//! calls `decide`; both events and the call are timed together.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -14,11 +14,11 @@
 use yuccahold::resources::Resources;
 use yuccahold::workload::{JobSpec, RunEnd, TaskRun, WorkerSpec};
 
-/// Steps that are measured.
+/// Number of steps measured.
 const STEPS: u32 = 30_000;
-/// Tasks for each worker that fill nine tenths of it.
+/// Number of tasks per worker that fill 90% of it.
 const PER_WORKER: u32 = 18;
-/// Teams with work.
+/// Number of teams that submit jobs.
 const TEAMS: u32 = 160;
 
 fn spec(name: String, tasks: u32, rng: &mut ChaCha8Rng) -> Arc<JobSpec> {
@@ -46,7 +46,7 @@
     }
 }
 
-fn running(out: &mut Vec<Decision>, runs: &mut Vec<(TaskRun, WorkerId)>) {
+fn collect_starts(out: &mut Vec<Decision>, runs: &mut Vec<(TaskRun, WorkerId)>) {
     runs.extend(out.drain(..).filter_map(|decision| match decision {
         Decision::Start { run, worker, .. } => Some((run, worker)),
         _ => None,
@@ -68,7 +68,7 @@
         placer.decide(now, 4096, &mut out);
         !out.is_empty()
     } {
-        running(&mut out, &mut runs);
+        collect_starts(&mut out, &mut runs);
     }
     let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000_000, 3).expect("bounds");
     let (mut spent, mut starts) = (Duration::ZERO, 0_usize);
@@ -85,7 +85,7 @@
         spent += took;
         times.saturating_record(took.as_nanos() as u64);
         let before = runs.len();
-        running(black_box(&mut out), &mut runs);
+        collect_starts(black_box(&mut out), &mut runs);
         starts += runs.len() - before;
     }
     let micros = |q| times.value_at_quantile(q) as f64 / 1000.0;
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -1,9 +1,8 @@
-//! Leases as their grantor counts them.
+//! The grantor's side of leases.
 //!
-//! A holder counts its lease from the moment it sent its request; the grantor counts from the
-//! moment it received it, which is later. So when the grantor regards a lease as over, the
-//! holder has regarded it as over for at least the time the request was on its way, whatever
-//! that was.
+//! A holder measures its lease from when it sent the request, the grantor from when it received
+//! the request, which is later. A lease has therefore expired for its holder before it expires for
+//! the grantor, however long the request was in transit.
 
 mod table;
 
--- a/src/lease/table.rs
+++ b/src/lease/table.rs
@@ -1,23 +1,24 @@
-//! The leases of one leader, in its memory only.
+//! The leases granted by one leader, kept in memory only.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::ids::{ProcessId, Timestamp};
 
-/// Clocks of two hosts drift apart by at most one part in this many.
+/// The clocks of two hosts are assumed to drift apart by at most one part in this many.
 pub const DRIFT_DIVISOR: u32 = 100;
 
-/// Time after which the grantor of a lease may regard it as over.
+/// Time from the last renewal until the grantor may declare a lease of this `ttl` expired, with
+/// allowance for clock drift.
 pub fn grantor_span(ttl: Duration) -> Duration {
     ttl + ttl / DRIFT_DIVISOR
 }
 
 /// Leases by holder.
 ///
-/// Nothing is written to the log for a renewal. A new leader has no record of its
-/// predecessor's grants, so it starts with [`LeaseTable::assume`] for every known holder:
-/// whatever was granted before is over one full span after it began to lead.
+/// Renewals are not written to the log. A new leader has no record of its predecessor's grants, so
+/// it calls [`LeaseTable::assume`] for every holder in the replicated state: any earlier grant has
+/// expired one full [`grantor_span`] after it began to lead.
 #[derive(Clone, Debug)]
 pub struct LeaseTable<K> {
     leases: BTreeMap<K, Lease>,
@@ -28,7 +29,7 @@
     process: ProcessId,
     renewed: Timestamp,
     ttl: Duration,
-    over: bool,
+    declared_expired: bool,
 }
 
 impl<K> Default for LeaseTable<K> {
@@ -40,72 +41,77 @@
 }
 
 impl<K: Ord + Clone> LeaseTable<K> {
-    /// Treats a lease as granted now, as far as this leader knows.
+    /// Records a lease that a previous leader may have granted, as if it was granted at `now`.
     pub fn assume(&mut self, holder: K, process: ProcessId, now: Timestamp, ttl: Duration) {
         let lease = Lease {
             process,
             renewed: now,
             ttl,
-            over: false,
+            declared_expired: false,
         };
         self.leases.insert(holder, lease);
     }
 
-    /// Renews a lease. Says whether it was granted: not while another process holds it, nor
-    /// once it was declared over, since its work may already be given to another.
+    /// Renews a lease, or grants the holder's first one; returns whether it was granted. It is
+    /// refused while another process holds the lease, and once the lease was declared expired, since
+    /// the holder's work may already have been given to another.
     pub fn renew(&mut self, holder: &K, process: ProcessId, now: Timestamp, ttl: Duration) -> bool {
         let Some(lease) = self.leases.get_mut(holder) else {
             self.assume(holder.clone(), process, now, ttl);
             return true;
         };
-        if lease.process != process || lease.over {
+        if lease.process != process || lease.declared_expired {
             return false;
         }
-        // A shorter time set by a new document must not cut what was granted before.
+        // A shorter ttl from a new document must not shorten what was already granted: the holder
+        // still relies on it.
         let left = (lease.renewed + lease.ttl).saturating_sub(now);
         lease.ttl = ttl.max(left);
         lease.renewed = now;
         true
     }
 
-    /// Declares the leases over that have run out, and names each of them once.
+    /// Declares leases expired that were not renewed in time; returns each of them once.
     pub fn expire(&mut self, now: Timestamp) -> Vec<(K, ProcessId)> {
         let mut expired = Vec::new();
         for (holder, lease) in &mut self.leases {
-            if !lease.over && now > lease.renewed + grantor_span(lease.ttl) {
-                lease.over = true;
+            if !lease.declared_expired && now > lease.renewed + grantor_span(lease.ttl) {
+                lease.declared_expired = true;
                 expired.push((holder.clone(), lease.process));
             }
         }
         expired
     }
 
-    /// Declares one process's lease over before its time, on the holder's own word.
+    /// Declares a process's lease expired early because the holder has released it.
     pub fn give_up(&mut self, holder: &K, process: ProcessId) {
         let lease = self.leases.get_mut(holder);
         if let Some(lease) = lease.filter(|lease| lease.process == process) {
-            lease.over = true;
+            lease.declared_expired = true;
         }
     }
 
-    /// Forgets a lease whose end has been agreed.
+    /// Removes a lease whose end is in the replicated state or whose process was replaced.
     pub fn forget(&mut self, holder: &K) {
         self.leases.remove(holder);
     }
 
-    /// Process whose lease is in force.
+    /// The process whose lease has not been declared expired.
     pub fn holder(&self, holder: &K) -> Option<ProcessId> {
-        let lease = self.leases.get(holder).filter(|lease| !lease.over);
+        let lease = self
+            .leases
+            .get(holder)
+            .filter(|lease| !lease.declared_expired);
         lease.map(|lease| lease.process)
     }
 
-    /// Time since the lease was last granted.
+    /// Time since the last renewal; `None` if the holder has no lease.
     pub fn silent(&self, holder: &K, now: Timestamp) -> Option<Duration> {
         let lease = self.leases.get(holder)?;
         Some(now.saturating_sub(lease.renewed))
     }
 
-    /// Forgets all leases.
+    /// Removes all leases.
     pub fn clear(&mut self) {
         self.leases.clear();
     }
--- a/src/placement/baseline.rs
+++ b/src/placement/baseline.rs
@@ -1,4 +1,4 @@
-//! The two schedulers that the real one is measured against.
+//! Two simple schedulers as baselines for comparison.
 
 use std::collections::BTreeMap;
 
@@ -8,50 +8,50 @@
 use super::cell::{Cell, Outcome};
 use super::interface::{Decision, Event, Placer};
 use super::records::{Job, JobIx, RunRef, WorkerIx};
-use super::search::{self, Ask};
+use super::search::{self, SearchRequest};
 use super::{explain, never};
 use crate::ids::{JobName, Timestamp};
 use crate::resources::Resources;
 use crate::workload::{MemberLoss, RunEnd, TaskRun, WorkClass};
 
-/// Takes jobs in the order of their arrival and puts each task on the first worker with room.
+/// Serves jobs in order of arrival and places each task on the first worker with room.
 #[derive(Debug, Default)]
 pub struct FirstFit {
-    ledger: Ledger,
+    state: BaselineState,
 }
 
-/// Draws a few workers at random for each task, takes the one with most room, and retries a few
-/// times.
+/// Draws a few workers at random for each task and takes the one with the most room, with a few
+/// retries.
 #[derive(Debug)]
 pub struct RandomOfK {
-    ledger: Ledger,
+    state: BaselineState,
     rng: ChaCha8Rng,
     k: usize,
     retries: usize,
 }
 
-/// What both baselines keep: the cell, and the waiting jobs in the order of arrival.
+/// State shared by both baselines: the cell, and the waiting jobs by arrival number.
 #[derive(Debug, Default)]
-struct Ledger {
+struct BaselineState {
     cell: Cell,
     waiting: BTreeMap<u64, JobIx>,
     pending: Vec<Decision>,
-    /// Something changed since the last time everything was tried in vain.
+    /// Whether an event has arrived since all waiting jobs were last tried without success.
     changed: bool,
 }
 
 impl FirstFit {
-    /// Makes an empty one.
+    /// Creates a placer without workers and jobs.
     pub fn new() -> Self {
         Self::default()
     }
 }
 
 impl RandomOfK {
-    /// Makes an empty one that draws `k` workers up to `1 + retries` times.
+    /// Creates a placer that draws `k` workers up to `1 + retries` times for each task.
     pub fn new(seed: u64, k: usize, retries: usize) -> Self {
         Self {
-            ledger: Ledger::default(),
+            state: BaselineState::default(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             k,
             retries,
@@ -59,7 +59,7 @@
     }
 }
 
-impl Ledger {
+impl BaselineState {
     fn handle(&mut self, event: Event) {
         self.changed = true;
         match event {
@@ -92,9 +92,9 @@
                 }
             }
             Event::JobCancelled(job) => self.cancel(&job),
-            Event::RunEnded { run, end, .. } => self.ended(&run, end),
-            Event::RunLost { run, restart, .. } => self.lost(&run, restart),
-            Event::StartRefused { run, .. } => self.refused(&run),
+            Event::RunEnded { run, end, .. } => self.run_ended(&run, end),
+            Event::RunLost { run, restart, .. } => self.run_lost(&run, restart),
+            Event::StartRefused { run, .. } => self.start_refused(&run),
             Event::Policy(_) | Event::Teams(_) | Event::Usage { .. } => {}
         }
     }
@@ -130,7 +130,7 @@
         self.cell.job_mut(ix).closed = true;
         self.waiting.remove(&self.cell.job(ix).seq);
         self.stop_others(ix, super::StopReason::Cancelled);
-        self.remove_if_over(ix);
+        self.remove_if_finished(ix);
     }
 
     fn stop_others(&mut self, ix: JobIx, reason: super::StopReason) {
@@ -148,26 +148,26 @@
         }
     }
 
-    fn ended(&mut self, run: &TaskRun, end: RunEnd) {
+    fn run_ended(&mut self, run: &TaskRun, end: RunEnd) {
         let Some((r, _)) = self.cell.find_run(run) else {
             return;
         };
         self.cell.release(r);
         if end == RunEnd::Failed {
-            self.failed(r);
+            self.run_failed(r);
         }
-        if self.cell.outcome(r.job, end) == Outcome::Again && self.wanted(r) {
-            self.cell.wait_again(r);
+        if self.cell.outcome(r.job, end) == Outcome::Restart && self.is_within_task_count(r) {
+            self.cell.requeue_task(r);
         }
         self.queue(r.job);
-        self.remove_if_over(r.job);
+        self.remove_if_finished(r.job);
     }
 
-    fn wanted(&self, r: RunRef) -> bool {
+    fn is_within_task_count(&self, r: RunRef) -> bool {
         r.index < self.cell.job(r.job).spec.tasks
     }
 
-    fn failed(&mut self, r: RunRef) {
+    fn run_failed(&mut self, r: RunRef) {
         let job = self.cell.job_mut(r.job);
         let task = &mut job.tasks[r.index as usize];
         task.failures += 1;
@@ -185,49 +185,49 @@
 
     fn member_lost(&mut self, ix: JobIx) {
         let job = self.cell.job(ix);
-        let whole = job.spec.on_member_loss != MemberLoss::Replace;
-        if job.spec.class == WorkClass::Gang && whole {
+        let restarts_whole = job.spec.on_member_loss != MemberLoss::Replace;
+        if job.spec.class == WorkClass::Gang && restarts_whole {
             self.stop_others(ix, super::StopReason::GangBroken);
         }
     }
 
-    fn lost(&mut self, run: &TaskRun, restart: bool) {
+    fn run_lost(&mut self, run: &TaskRun, restart: bool) {
         let Some((r, _)) = self.cell.find_run(run) else {
             return;
         };
         self.cell.release(r);
-        if restart && !self.cell.job(r.job).closed && self.wanted(r) {
-            self.cell.wait_again(r);
+        if restart && !self.cell.job(r.job).closed && self.is_within_task_count(r) {
+            self.cell.requeue_task(r);
         }
         if !self.cell.job(r.job).closed {
             self.member_lost(r.job);
         }
         self.queue(r.job);
-        self.remove_if_over(r.job);
+        self.remove_if_finished(r.job);
     }
 
-    fn refused(&mut self, run: &TaskRun) {
+    fn start_refused(&mut self, run: &TaskRun) {
         let Some((r, _)) = self.cell.find_run(run) else {
             return;
         };
         self.cell.release(r);
         self.cell.job_mut(r.job).tasks[r.index as usize].attempt -= 1;
         if !self.cell.job(r.job).closed {
-            self.cell.wait_again(r);
+            self.cell.requeue_task(r);
             self.member_lost(r.job);
         }
         self.queue(r.job);
-        self.remove_if_over(r.job);
+        self.remove_if_finished(r.job);
     }
 
-    fn remove_if_over(&mut self, ix: JobIx) {
-        if self.cell.job(ix).over() {
+    fn remove_if_finished(&mut self, ix: JobIx) {
+        if self.cell.job(ix).is_finished() {
             self.waiting.remove(&self.cell.job(ix).seq);
             self.cell.remove_job(ix);
         }
     }
 
-    /// Tries every waiting job in the order of arrival with a rule that picks workers.
+    /// Tries every waiting job in order of arrival; `pick` chooses the worker for a task.
     fn decide(
         &mut self,
         now: Timestamp,
@@ -282,8 +282,8 @@
             return 0;
         }
         let n = job.waiting.len() as u32;
-        let ask = Ask::new(&self.cell, ix, job.spec.need, Timestamp::MAX);
-        let Some(workers) = search::find_gang(&self.cell, &ask, n, &[]) else {
+        let req = SearchRequest::new(&self.cell, ix, job.spec.need, Timestamp::MAX);
+        let Some(workers) = search::find_gang(&self.cell, &req, n, &[]) else {
             return 0;
         };
         for &worker in &workers {
@@ -307,7 +307,7 @@
     }
 }
 
-/// Says whether a task of the job fits on a worker.
+/// The room of a worker, if a task of the job fits into it.
 fn fits(cell: &Cell, job: &Job, ix: WorkerIx) -> Option<Resources> {
     let worker = cell.workers.get(ix as usize)?.as_ref()?;
     let group = &cell.index.groups[worker.slot.group? as usize];
@@ -318,30 +318,30 @@
 
 impl Placer for FirstFit {
     fn handle(&mut self, _now: Timestamp, event: Event) {
-        self.ledger.handle(event);
+        self.state.handle(event);
     }
 
     fn decide(&mut self, now: Timestamp, limit: usize, out: &mut Vec<Decision>) {
-        self.ledger.decide(now, limit, out, |cell, _, job| {
+        self.state.decide(now, limit, out, |cell, _, job| {
             let all = 0..cell.workers.len() as WorkerIx;
             all.into_iter().find(|&ix| fits(cell, job, ix).is_some())
         });
     }
 
     fn explain(&self, now: Timestamp, job: &JobName) -> Option<String> {
-        explain::plain(&self.ledger.cell, now, job)
+        explain::explain_without_queues(&self.state.cell, now, job)
     }
 }
 
 impl Placer for RandomOfK {
     fn handle(&mut self, _now: Timestamp, event: Event) {
-        self.ledger.handle(event);
+        self.state.handle(event);
     }
 
     fn decide(&mut self, now: Timestamp, limit: usize, out: &mut Vec<Decision>) {
         let (k, retries) = (self.k, self.retries);
         let rng = &mut self.rng;
-        self.ledger.decide(now, limit, out, |cell, _, job| {
+        self.state.decide(now, limit, out, |cell, _, job| {
             let n = cell.workers.len() as WorkerIx;
             if n == 0 {
                 return None;
@@ -357,6 +357,6 @@
     }
 
     fn explain(&self, now: Timestamp, job: &JobName) -> Option<String> {
-        explain::plain(&self.ledger.cell, now, job)
+        explain::explain_without_queues(&self.state.cell, now, job)
     }
 }
--- a/src/placement/cell.rs
+++ b/src/placement/cell.rs
@@ -1,45 +1,45 @@
-//! The cell as the placer sees it: workers, jobs and what is granted.
+//! The placer's model of the cell: workers, jobs and grants.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use super::classes::{ClassIndex, Slot};
 use super::interface::{RestoredTask, TaskState};
-use super::records::{BANDS, Ending, Job, JobIx, Place, Run, RunRef, Task, Worker, WorkerIx};
+use super::records::{BANDS, Ending, Job, JobIx, Phase, Run, RunRef, Task, Worker, WorkerIx};
 use super::rules;
 use crate::ids::{JobName, RackName, TaskIndex, Timestamp, WorkerId, ZoneName};
 use crate::resources::Resources;
 use crate::workload::{JobSpec, RunEnd, Spread, TaskId, TaskRun, WorkerSpec};
 
-/// What became of a task whose run ended.
+/// What follows for a task whose run has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// It may start again.
-    Again,
-    /// It will not start again.
-    Over,
+    /// The task may start again.
+    Restart,
+    /// The task will not start again.
+    Final,
 }
 
-/// Workers, jobs and runs.
+/// The workers, jobs and runs of the cell.
 #[derive(Debug, Default)]
 pub(crate) struct Cell {
     pub(crate) workers: Vec<Option<Worker>>,
-    spare_workers: Vec<WorkerIx>,
+    unused_worker_ixs: Vec<WorkerIx>,
     worker_ix: HashMap<WorkerId, WorkerIx>,
     pub(crate) jobs: Vec<Option<Job>>,
-    spare_jobs: Vec<JobIx>,
+    unused_job_ixs: Vec<JobIx>,
     job_ix: HashMap<JobName, JobIx>,
     racks: HashMap<(ZoneName, RackName), u32>,
     zones: HashMap<ZoneName, u32>,
     pub(crate) index: ClassIndex,
     next_seq: u64,
-    /// Capacity of all workers that are up.
+    /// Sum of the capacities of all workers that are up.
     pub(crate) total: Resources,
-    /// Granted on all workers.
+    /// Sum of all grants.
     pub(crate) used: Resources,
-    /// The ordinary size of a quick task; nothing while there is none.
-    quick_shape: Resources,
-    /// Quick tasks that would fit into the room of all open workers.
+    /// Average size of a quick task; zero until one has started.
+    quick_task_size: Resources,
+    /// Number of quick tasks that fit into the room of all open workers.
     pub(crate) quick_slots: u64,
 }
 
@@ -68,21 +68,21 @@
         self.job_ix.get(name).copied()
     }
 
-    /// All workers in the order of their table.
+    /// All workers in the order of their indices.
     pub(crate) fn iter_workers(&self) -> impl Iterator<Item = (WorkerIx, &Worker)> {
-        let known = self.workers.iter().enumerate();
-        known.filter_map(|(i, w)| w.as_ref().map(|w| (i as WorkerIx, w)))
+        let all = self.workers.iter().enumerate();
+        all.filter_map(|(i, w)| w.as_ref().map(|w| (i as WorkerIx, w)))
     }
 
-    /// Adds a worker, or takes in its new shape.
+    /// Adds a worker, or applies its new specification.
     pub(crate) fn worker_up(&mut self, spec: WorkerSpec) -> WorkerIx {
         let zones = self.zones.len() as u32;
         let zone = *self.zones.entry(spec.zone.clone()).or_insert(zones);
         let racks = self.racks.len() as u32;
-        let place = (spec.zone.clone(), spec.rack.clone());
-        let rack = *self.racks.entry(place).or_insert(racks);
+        let rack_key = (spec.zone.clone(), spec.rack.clone());
+        let rack = *self.racks.entry(rack_key).or_insert(racks);
         if let Some(ix) = self.find_worker(&spec.id) {
-            self.reshape(ix, spec, zone, rack);
+            self.update_spec(ix, spec, zone, rack);
             return ix;
         }
         let id = spec.id.clone();
@@ -97,13 +97,13 @@
             drain: None,
             quarantine: None,
             hold: None,
-            failed_here: Vec::new(),
+            recent_failures: Vec::new(),
             zone,
             rack,
             slot: Slot::default(),
             quick_slots: 0,
         };
-        let ix = match self.spare_workers.pop() {
+        let ix = match self.unused_worker_ixs.pop() {
             Some(ix) => {
                 self.workers[ix as usize] = Some(worker);
                 ix
@@ -118,8 +118,8 @@
         ix
     }
 
-    fn reshape(&mut self, ix: WorkerIx, spec: WorkerSpec, zone: u32, rack: u32) {
-        let granted = self.granted_on(ix);
+    fn update_spec(&mut self, ix: WorkerIx, spec: WorkerSpec, zone: u32, rack: u32) {
+        let granted = self.sum_grants(ix);
         let worker = self.workers[ix as usize].as_mut().expect("live worker");
         if worker.up {
             self.total = self.total.saturating_sub(&worker.spec.capacity);
@@ -133,13 +133,14 @@
         self.reindex(ix);
     }
 
-    fn granted_on(&self, ix: WorkerIx) -> Resources {
+    fn sum_grants(&self, ix: WorkerIx) -> Resources {
         let runs = self.worker(ix).runs.iter();
         runs.filter_map(|r| self.job(r.job).tasks[r.index as usize].run())
             .fold(Resources::ZERO, |sum, run| sum.saturating_add(&run.granted))
     }
 
-    /// Takes a worker out; its runs are reported one by one.
+    /// Marks a worker as down and removes it once it has no runs. The loss of each run is reported
+    /// separately.
     pub(crate) fn worker_down(&mut self, id: &WorkerId) -> Option<WorkerIx> {
         let ix = self.find_worker(id)?;
         let worker = self.workers[ix as usize].as_mut().expect("live worker");
@@ -149,11 +150,11 @@
         }
         worker.hold = None;
         self.reindex(ix);
-        self.forget_worker_if_empty(ix);
+        self.remove_if_down_and_empty(ix);
         Some(ix)
     }
 
-    fn forget_worker_if_empty(&mut self, ix: WorkerIx) {
+    fn remove_if_down_and_empty(&mut self, ix: WorkerIx) {
         let worker = self.worker(ix);
         if worker.up || !worker.runs.is_empty() {
             return;
@@ -161,35 +162,35 @@
         let id = worker.spec.id.clone();
         debug_assert_eq!(worker.quick_slots, 0, "a worker that is down has no slots");
         if let Some(group) = worker.slot.group {
-            self.index.groups[group as usize].known -= 1;
+            self.index.groups[group as usize].workers -= 1;
         }
         self.worker_ix.remove(&id);
         self.workers[ix as usize] = None;
-        self.spare_workers.push(ix);
+        self.unused_worker_ixs.push(ix);
     }
 
-    /// Moves a worker to the class of its present state.
+    /// Updates a worker's class and slots after a change of its room or state.
     pub(crate) fn reindex(&mut self, ix: WorkerIx) {
         let worker = self.workers[ix as usize].as_mut().expect("live worker");
         let room = (worker.open() && worker.hold.is_none()).then(|| worker.room());
-        // Quick work may use room that is held for ordinary work.
-        let slots = if worker.open() && self.quick_shape != Resources::ZERO {
-            self.quick_shape.times_in(&worker.room())
+        // Quick tasks may use room held for jobs of lower bands.
+        let slots = if worker.open() && self.quick_task_size != Resources::ZERO {
+            self.quick_task_size.times_in(&worker.room())
         } else {
             0
         };
         let before = std::mem::replace(&mut worker.quick_slots, slots);
         self.quick_slots = self.quick_slots + u64::from(slots) - u64::from(before);
-        let slot = self.index.place(ix, worker.slot, &worker.spec, room);
+        let slot = self.index.update(ix, worker.slot, &worker.spec, room);
         worker.slot = slot.slot;
         if let Some((moved, pos)) = slot.moved {
             self.worker_mut(moved).slot.pos = pos;
         }
     }
 
-    /// Changes the size of a quick task, and counts anew how many would fit.
-    pub(crate) fn set_quick_shape(&mut self, shape: Resources) {
-        self.quick_shape = shape;
+    /// Sets the size of a quick task and counts the slots of all workers again.
+    pub(crate) fn set_quick_task_size(&mut self, shape: Resources) {
+        self.quick_task_size = shape;
         for ix in 0..self.workers.len() {
             if self.workers[ix].is_some() {
                 self.reindex(ix as WorkerIx);
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Adds a job; one already known by this name is left as it is.
+    /// Adds a job; `None` if one of this name exists.
     pub(crate) fn add_job(&mut self, spec: Arc<JobSpec>, at: Timestamp) -> Option<JobIx> {
         if self.job_ix.contains_key(&spec.name) {
             return None;
@@ -207,23 +208,23 @@
         let name = spec.name.clone();
         let job = Job {
             spec,
-            at,
+            accepted_at: at,
             seq: self.next_seq,
             version: 0,
-            tasks: vec![Task::FRESH; n as usize],
+            tasks: vec![Task::NEW; n as usize],
             waiting: (0..n).rev().collect(),
             backing_off: 0,
             running: 0,
             closed: false,
-            never: None,
+            never_runs: None,
             failed_on: Vec::new(),
-            claims: 0,
+            preemption_holds: 0,
             holds: 0,
             queue: None,
-            order: at,
+            queue_time: at,
             domains: HashMap::new(),
         };
-        let ix = match self.spare_jobs.pop() {
+        let ix = match self.unused_job_ixs.pop() {
             Some(ix) => {
                 self.jobs[ix as usize] = Some(job);
                 ix
@@ -237,7 +238,7 @@
         Some(ix)
     }
 
-    /// Takes in a job with the state of its tasks.
+    /// Adds a job with the restored state of its tasks.
     pub(crate) fn restore_job(
         &mut self,
         spec: Arc<JobSpec>,
@@ -249,9 +250,9 @@
             self.restore_task(ix, restored);
         }
         let job = self.job_mut(ix);
-        let known = &job.tasks;
+        let all = &job.tasks;
         job.waiting
-            .retain(|&i| matches!(known[i as usize].place, Place::Waiting));
+            .retain(|&i| matches!(all[i as usize].phase, Phase::Waiting));
         Some(ix)
     }
 
@@ -261,17 +262,17 @@
         if at >= self.job(job).tasks.len() {
             let all = &mut self.job_mut(job).tasks;
             let ended = Task {
-                place: Place::Ended,
-                ..Task::FRESH
+                phase: Phase::Ended,
+                ..Task::NEW
             };
             all.resize(at + 1, ended);
         }
         let task = &mut self.job_mut(job).tasks[at];
         task.attempt = restored.attempt;
         task.preemptions = restored.preemptions;
-        task.place = match restored.state {
-            TaskState::Waiting => Place::Waiting,
-            TaskState::Ended | TaskState::Running { .. } => Place::Ended,
+        task.phase = match restored.state {
+            TaskState::Waiting => Phase::Waiting,
+            TaskState::Ended | TaskState::Running { .. } => Phase::Ended,
         };
         if let TaskState::Running {
             worker,
@@ -279,14 +280,14 @@
             since,
         } = &restored.state
         {
-            let ix = self.worker_for_restored(worker);
-            self.occupy(RunRef { job, index }, ix, *granted, *since);
+            let ix = self.find_or_add_down(worker);
+            self.add_run(RunRef { job, index }, ix, *granted, *since);
         }
     }
 
-    /// A run may be on a worker that is not known yet: it is kept as one that is down, so that
-    /// the grant is not forgotten and the loss of the run still finds it.
-    fn worker_for_restored(&mut self, id: &WorkerId) -> WorkerIx {
+    /// The worker of a restored run. One that has not joined yet is added as down, so that the grant
+    /// is counted and the run can be reported lost.
+    fn find_or_add_down(&mut self, id: &WorkerId) -> WorkerIx {
         if let Some(ix) = self.find_worker(id) {
             return ix;
         }
@@ -300,11 +301,11 @@
         ix
     }
 
-    /// Removes a job of which nothing is left.
+    /// Removes a job and frees its index for reuse.
     pub(crate) fn remove_job(&mut self, ix: JobIx) -> Option<Job> {
         let job = self.jobs[ix as usize].take()?;
         self.job_ix.remove(&job.spec.name);
-        self.spare_jobs.push(ix);
+        self.unused_job_ixs.push(ix);
         Some(job)
     }
 
@@ -317,11 +318,11 @@
         now: Timestamp,
     ) -> TaskRun {
         self.job_mut(r.job).tasks[r.index as usize].attempt += 1;
-        self.occupy(r, worker, granted, now);
+        self.add_run(r, worker, granted, now);
         self.task_run(r)
     }
 
-    /// The name of a task's latest start.
+    /// Identifies a task's latest start.
     pub(crate) fn task_run(&self, r: RunRef) -> TaskRun {
         let job = self.job(r.job);
         TaskRun {
@@ -333,7 +334,7 @@
         }
     }
 
-    fn occupy(&mut self, r: RunRef, worker_ix: WorkerIx, granted: Resources, since: Timestamp) {
+    fn add_run(&mut self, r: RunRef, worker_ix: WorkerIx, granted: Resources, since: Timestamp) {
         let job = self.jobs[r.job as usize].as_mut().expect("live job");
         let worker = self.workers[worker_ix as usize].as_mut().expect("worker");
         job.running += 1;
@@ -341,12 +342,12 @@
             let domain = worker.domain(worker_ix, job.spec.spread);
             *job.domains.entry(domain).or_default() += 1;
         }
-        job.tasks[r.index as usize].place = Place::Running(Run {
+        job.tasks[r.index as usize].phase = Phase::Running(Run {
             worker: worker_ix,
             granted,
             since,
-            over: Resources::ZERO,
-            ending: Ending::No,
+            excess: Resources::ZERO,
+            ending: Ending::NotRequested,
             throttled: false,
             version: job.version,
         });
@@ -360,7 +361,7 @@
         self.reindex(worker_ix);
     }
 
-    /// Finds the run of an event, if it is the task's latest and still holds its worker.
+    /// Finds the run of an event if it is the task's latest and still holds its grant.
     pub(crate) fn find_run(&self, run: &TaskRun) -> Option<(RunRef, Run)> {
         let job = self.find_job(&run.task.job)?;
         let task = self.job(job).tasks.get(run.task.index as usize)?;
@@ -371,12 +372,12 @@
         task.run().map(|found| (RunRef { job, index }, *found))
     }
 
-    /// Frees what a run holds. The task is left as ended.
+    /// Frees a run's grant. The task is left in the phase `Ended`.
     pub(crate) fn release(&mut self, r: RunRef) -> Option<Run> {
         let job = self.jobs[r.job as usize].as_mut()?;
         let task = &mut job.tasks[r.index as usize];
         let run = *task.run()?;
-        task.place = Place::Ended;
+        task.phase = Phase::Ended;
         job.running -= 1;
         let worker = self.workers[run.worker as usize].as_mut().expect("worker");
         if job.spec.spread != Spread::None {
@@ -386,42 +387,42 @@
             }
         }
         worker.runs.retain(|other| *other != r);
-        worker.overuse = worker.overuse.saturating_sub(&run.over);
+        worker.overuse = worker.overuse.saturating_sub(&run.excess);
         if rules::preemptible(&job.spec) {
             let band = &mut worker.preemptible[job.spec.band as usize];
             *band = band.saturating_sub(&run.granted);
         }
         self.used = self.used.saturating_sub(&run.granted);
-        self.refill(run.worker);
+        self.recompute_free(run.worker);
         Some(run)
     }
 
-    fn refill(&mut self, ix: WorkerIx) {
-        let granted = self.granted_on(ix);
+    fn recompute_free(&mut self, ix: WorkerIx) {
+        let granted = self.sum_grants(ix);
         let worker = self.worker_mut(ix);
         worker.free = worker.spec.capacity.saturating_sub(&granted);
         self.reindex(ix);
-        self.forget_worker_if_empty(ix);
+        self.remove_if_down_and_empty(ix);
     }
 
-    /// Puts an ended task back among the waiting.
-    pub(crate) fn wait_again(&mut self, r: RunRef) {
+    /// Puts an ended task back on its job's waiting list.
+    pub(crate) fn requeue_task(&mut self, r: RunRef) {
         let job = self.job_mut(r.job);
-        job.tasks[r.index as usize].place = Place::Waiting;
+        job.tasks[r.index as usize].phase = Phase::Waiting;
         job.waiting.push(r.index);
     }
 
-    /// Says whether a task may start again after a run ended so.
+    /// Whether a task may start again after its run ended in the given way.
     pub(crate) fn outcome(&self, job: JobIx, end: RunEnd) -> Outcome {
         let job = self.job(job);
         if !job.closed && rules::may_start_again(&job.spec, end) {
-            Outcome::Again
+            Outcome::Restart
         } else {
-            Outcome::Over
+            Outcome::Final
         }
     }
 
-    /// Changes the number of tasks; returns the runs that are not wanted any more.
+    /// Changes a job's number of tasks; returns the runs beyond the new number.
     pub(crate) fn resize(&mut self, ix: JobIx, tasks: u32) -> Vec<RunRef> {
         let job = self.job_mut(ix);
         let before = job.spec.tasks;
@@ -429,58 +430,61 @@
         spec.tasks = tasks;
         job.spec = Arc::new(spec);
         job.waiting.retain(|&i| i < tasks);
-        let known = tasks.min(job.tasks.len() as u32);
-        for index in before.min(known)..known {
+        let existing = tasks.min(job.tasks.len() as u32);
+        for index in before.min(existing)..existing {
             let task = &mut job.tasks[index as usize];
-            if matches!(task.place, Place::Ended) {
-                task.place = Place::Waiting;
+            if matches!(task.phase, Phase::Ended) {
+                task.phase = Phase::Waiting;
                 job.waiting.push(index);
             }
         }
         for index in job.tasks.len() as u32..tasks {
-            job.tasks.push(Task::FRESH);
+            job.tasks.push(Task::NEW);
             job.waiting.push(index);
         }
         let extra = job.tasks.iter_mut().enumerate().skip(tasks as usize);
         let mut unwanted = Vec::new();
         for (i, task) in extra {
-            match task.place {
-                Place::Waiting => task.place = Place::Ended,
-                Place::Running(_) => unwanted.push(RunRef {
+            match task.phase {
+                Phase::Waiting => task.phase = Phase::Ended,
+                Phase::Running(_) => unwanted.push(RunRef {
                     job: ix,
                     index: i as TaskIndex,
                 }),
-                Place::Backoff | Place::Ended => {}
+                Phase::Backoff | Phase::Ended => {}
             }
         }
         unwanted
     }
 
-    /// Notes what a run uses above its grant.
-    pub(crate) fn set_over(&mut self, r: RunRef, over: Resources) {
+    /// Records a run's usage above its grant.
+    pub(crate) fn set_excess(&mut self, r: RunRef, excess: Resources) {
         let job = self.jobs[r.job as usize].as_mut().expect("live job");
-        let Place::Running(run) = &mut job.tasks[r.index as usize].place else {
+        let Phase::Running(run) = &mut job.tasks[r.index as usize].phase else {
             return;
         };
-        let before = std::mem::replace(&mut run.over, over);
+        let before = std::mem::replace(&mut run.excess, excess);
         let ix = run.worker;
         let worker = self.worker_mut(ix);
-        worker.overuse = worker.overuse.saturating_sub(&before).saturating_add(&over);
+        worker.overuse = worker
+            .overuse
+            .saturating_sub(&before)
+            .saturating_add(&excess);
         self.reindex(ix);
     }
 
-    /// Notes that a run was told to use less.
+    /// Records that a run was throttled.
     pub(crate) fn set_throttled(&mut self, r: RunRef) {
         let job = self.job_mut(r.job);
-        if let Place::Running(run) = &mut job.tasks[r.index as usize].place {
+        if let Phase::Running(run) = &mut job.tasks[r.index as usize].phase {
             run.throttled = true;
         }
     }
 
-    /// Notes that a run was asked to end.
+    /// Records how a run was asked to end.
     pub(crate) fn set_ending(&mut self, r: RunRef, ending: Ending) {
         let job = self.job_mut(r.job);
-        if let Place::Running(run) = &mut job.tasks[r.index as usize].place {
+        if let Phase::Running(run) = &mut job.tasks[r.index as usize].phase {
             run.ending = ending;
         }
     }
--- a/src/placement/classes.rs
+++ b/src/placement/classes.rs
@@ -1,7 +1,7 @@
-//! Workers grouped into equivalence classes by shape, zone and free room.
+//! Index of the workers by capacity, availability zone and free room.
 //!
-//! A search looks at classes, not at workers. Free room is cut into levels of a sixteenth of
-//! the capacity, so the number of classes follows the number of shapes and zones.
+//! Searches examine classes of workers rather than single workers. Free room is divided into
+//! levels of one sixteenth of the capacity, which bounds the number of classes per group.
 
 use std::collections::HashMap;
 
@@ -10,15 +10,15 @@
 use crate::resources::Resources;
 use crate::workload::WorkerSpec;
 
-/// Position of a group in the index.
+/// Index of a group in [`ClassIndex::groups`].
 pub(crate) type GroupIx = u32;
-/// Position of a class in the index.
+/// Index of a class in [`ClassIndex::classes`].
 pub(crate) type ClassIx = u32;
 
-/// Steps into which the free processors and memory of a shape are cut.
+/// Number of levels into which the free processors and memory of a worker are divided.
 const LEVELS: u64 = 16;
 
-/// Workers of one shape in one availability zone.
+/// Workers of one capacity and accelerator type in one availability zone.
 #[derive(Debug)]
 pub(crate) struct Group {
     pub(crate) zone: ZoneName,
@@ -26,26 +26,26 @@
     pub(crate) capacity: Resources,
     /// Classes that have members.
     pub(crate) active: Vec<ClassIx>,
-    /// Workers of this shape that are known, whatever their state.
-    pub(crate) known: u32,
-    /// The most that were known at once. A lost worker may come back, so a job is told that it
-    /// can never run only when this number would not do either.
-    pub(crate) peak: u32,
+    /// Number of workers, whatever their state.
+    pub(crate) workers: u32,
+    /// Largest number of workers so far. A lost worker may come back, so a job is reported as
+    /// fitting nowhere only if this many workers would not be enough either.
+    pub(crate) peak_workers: u32,
 }
 
 /// Workers of one group whose free room is on the same levels.
 #[derive(Debug)]
 pub(crate) struct Class {
-    /// Every member has at least this free.
+    /// Every member has at least this much room.
     pub(crate) floor: Resources,
-    /// No member has more than this free.
+    /// No member has more room than this.
     pub(crate) ceiling: Resources,
     pub(crate) members: Vec<WorkerIx>,
     group: GroupIx,
     active_pos: u32,
 }
 
-/// Where a worker is in the index.
+/// A worker's position in the index.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Slot {
     pub(crate) class: Option<ClassIx>,
@@ -53,8 +53,8 @@
     pub(crate) group: Option<GroupIx>,
 }
 
-/// A worker's new slot, and the worker that took over its old one.
-pub(crate) struct Placed {
+/// A worker's new position, and the worker that moved to its old one.
+pub(crate) struct IndexUpdate {
     pub(crate) slot: Slot,
     pub(crate) moved: Option<(WorkerIx, u32)>,
 }
@@ -62,7 +62,7 @@
 type ShapeKey = (ZoneName, Option<AcceleratorName>, Resources);
 type ClassKey = (GroupIx, u8, u8, u32);
 
-/// The classes of all workers that take ordinary work.
+/// The groups and classes of all workers.
 #[derive(Debug, Default)]
 pub(crate) struct ClassIndex {
     pub(crate) groups: Vec<Group>,
@@ -72,14 +72,15 @@
 }
 
 impl ClassIndex {
-    /// Puts a worker where its room belongs; no room takes it out of the index.
-    pub(crate) fn place(
+    /// Moves a worker to the class of its room. Without room it belongs to no class and is not found
+    /// by searches.
+    pub(crate) fn update(
         &mut self,
         ix: WorkerIx,
         old: Slot,
         spec: &WorkerSpec,
         room: Option<Resources>,
-    ) -> Placed {
+    ) -> IndexUpdate {
         let group = self.group_of(old, spec);
         let class = room.map(|room| self.class_of(group, &room));
         let mut slot = Slot {
@@ -88,13 +89,13 @@
             group: Some(group),
         };
         if old.class == class {
-            return Placed { slot, moved: None };
+            return IndexUpdate { slot, moved: None };
         }
         let moved = old.class.and_then(|c| self.leave(c, old.pos));
         if let Some(class) = class {
             slot.pos = self.join(class, ix);
         }
-        Placed { slot, moved }
+        IndexUpdate { slot, moved }
     }
 
     fn group_of(&mut self, old: Slot, spec: &WorkerSpec) -> GroupIx {
@@ -106,7 +107,7 @@
             if same {
                 return ix;
             }
-            self.groups[ix as usize].known -= 1;
+            self.groups[ix as usize].workers -= 1;
         }
         let key = (spec.zone.clone(), spec.accelerator.clone(), spec.capacity);
         let next = self.groups.len() as GroupIx;
@@ -117,13 +118,13 @@
                 accelerator: spec.accelerator.clone(),
                 capacity: spec.capacity,
                 active: Vec::new(),
-                known: 0,
-                peak: 0,
+                workers: 0,
+                peak_workers: 0,
             });
         }
         let group = &mut self.groups[ix as usize];
-        group.known += 1;
-        group.peak = group.peak.max(group.known);
+        group.workers += 1;
+        group.peak_workers = group.peak_workers.max(group.workers);
         ix
     }
 
@@ -182,7 +183,7 @@
     }
 }
 
-/// The level of a free amount, from 0 for nothing to `LEVELS` for all.
+/// The level of a free amount, from 0 for nothing to `LEVELS` for the whole capacity.
 fn level(free: u32, capacity: u32) -> u8 {
     if capacity == 0 {
         return 0;
--- a/src/placement/drains.rs
+++ b/src/placement/drains.rs
@@ -1,5 +1,5 @@
-//! Emptying workers by a deadline, replacing old versions in steps, and what else depends on
-//! time alone.
+//! Draining of workers by a deadline, stepwise replacement of runs of older specifications, and the
+//! periodic sweep.
 
 use super::interface::{Decision, StopReason};
 use super::records::{Ending, RunRef, WorkerIx};
@@ -24,19 +24,19 @@
         if let Some(ix) = self.cell.find_worker(id) {
             self.cell.worker_mut(ix).drain = None;
             self.cell.reindex(ix);
-            self.wake_for(ix);
+            self.wake_fitting(ix);
         }
     }
 
-    /// Looks at what depends on time alone.
+    /// Does the work that depends on time alone.
     pub(crate) fn sweep(&mut self, now: Timestamp, out: &mut Vec<Decision>) {
         self.drain_workers(now);
         self.replace_old_versions();
-        self.stop_slow_savers(now);
-        self.review_headroom(now);
-        self.review_holds(now);
-        self.wake_impatient(now);
-        self.try_quarantined(now, out);
+        self.stop_overdue_checkpoints(now);
+        self.update_headroom(now);
+        self.update_holds(now);
+        self.retry_with_declared_need(now);
+        self.start_due_trials(now, out);
         self.retry_making_room(now, out);
         out.append(&mut self.pending);
     }
@@ -54,8 +54,9 @@
         }
     }
 
-    /// Long-running tasks move at once, a few at a time; others that can save their state do
-    /// so when they would not finish in time; at the deadline whatever is left is stopped.
+    /// Moves a run off a draining worker. Long-running tasks move at once, within the job's
+    /// `max_unavailable`; others with checkpoints move if they would not finish in time; at the
+    /// deadline every run that is left is stopped.
     fn drain_run(&mut self, now: Timestamp, r: RunRef, deadline: Timestamp) {
         if now >= deadline {
             self.stop_run(r, StopKind::Stop, StopReason::Drained);
@@ -65,16 +66,16 @@
         let Some(run) = job.tasks[r.index as usize].run() else {
             return;
         };
-        if run.ending != Ending::No || !rules::preemptible(&job.spec) {
+        if run.ending != Ending::NotRequested || !rules::preemptible(&job.spec) {
             return;
         }
-        let moves = if job.long_running() {
-            job.away() < job.spec.max_unavailable.max(1)
+        let must_move = if job.long_running() {
+            job.unavailable() < job.spec.max_unavailable.max(1)
         } else {
             let ends = run.since.saturating_add(self.expected_run_time(r.job));
             job.spec.checkpoint && ends > deadline
         };
-        if moves {
+        if must_move {
             self.stop_run(r, StopKind::Checkpoint, StopReason::Drained);
         }
     }
@@ -82,14 +83,15 @@
     fn replace_old_versions(&mut self) {
         let mut updating = std::mem::take(&mut self.updating);
         updating.retain(|&(ix, seq)| {
-            let known = self.cell.jobs[ix as usize].as_ref();
-            known.is_some_and(|job| job.seq == seq && !job.closed) && self.update_step(ix)
+            let found = self.cell.jobs[ix as usize].as_ref();
+            found.is_some_and(|job| job.seq == seq && !job.closed) && self.replace_some(ix)
         });
         self.updating = updating;
     }
 
-    /// Stops as many runs of older versions as may be away; says whether any are left.
-    fn update_step(&mut self, ix: super::records::JobIx) -> bool {
+    /// Stops as many runs of older specifications as `max_unavailable` allows; returns whether any
+    /// are left.
+    fn replace_some(&mut self, ix: super::records::JobIx) -> bool {
         let job = self.cell.job(ix);
         let limit = job.spec.max_unavailable.max(1) as usize;
         let old: Vec<RunRef> = job
@@ -102,13 +104,13 @@
                 index: i as u32,
             })
             .collect();
-        let may_stop = limit.saturating_sub(job.away() as usize);
-        let going_on: Vec<RunRef> = old
+        let may_stop = limit.saturating_sub(job.unavailable() as usize);
+        let not_ending: Vec<RunRef> = old
             .iter()
             .copied()
             .filter(|&r| !self.is_ending(r))
             .collect();
-        for &r in going_on.iter().take(may_stop) {
+        for &r in not_ending.iter().take(may_stop) {
             self.stop_run(r, StopKind::Checkpoint, StopReason::Resized);
         }
         !old.is_empty()
--- a/src/placement/estimates.rs
+++ b/src/placement/estimates.rs
@@ -1,75 +1,85 @@
-//! Sizes and run times learnt per job kind.
+//! Learnt sizes and run times per job kind.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::records::{WorkerIx, larger};
+use super::records::{WorkerIx, max_of_each};
 use crate::ids::{KindName, Timestamp};
 use crate::resources::Resources;
 use crate::workload::JobSpec;
 
-/// Time in which a learnt size above the declared one loses half of its excess.
+/// Half-life of the learnt sizes while no reports arrive.
 const HALF_LIFE: Duration = Duration::from_secs(3600);
-/// Share of a new run time in the learnt one.
-const NEW_PART: f64 = 0.2;
-/// Learnt sizes are rounded up to this, so that tasks of one kind stay alike.
+/// Weight of a new run time in the moving average.
+const NEW_RUN_WEIGHT: f64 = 0.2;
+/// Learnt sizes are rounded up to these steps, in millicores and megabytes, so that tasks of one
+/// kind keep the same size.
 const CORE_STEP: u32 = 100;
 const MEMORY_STEP: u32 = 64;
-/// Kinds remembered; the one heard of least recently is forgotten first.
-const KIND_LIMIT: usize = 4096;
-/// Workers whose reports are kept for one kind.
-const REPORTERS: usize = 4;
-/// Different workers on which a kind must fail, with no success between, to be at fault.
+/// Upper limit on the kinds remembered; the least recently used one is evicted.
+const MAX_KINDS: usize = 4096;
+/// Number of workers whose reports are kept per kind.
+const MAX_REPORTS_PER_KIND: usize = 4;
+/// Number of different workers on which a kind must fail, with no success in between, before the
+/// kind itself is at fault.
 const FAULTY_KIND_WORKERS: usize = 3;
 
-/// What is known of one kind.
+/// Estimates for one kind. `run_time` is a moving average in seconds.
 #[derive(Debug, Default)]
-struct Kind {
+struct KindEstimate {
     run_time: Option<f64>,
-    /// The largest reports, one for each of a few workers.
+    /// The largest usage reported by each of a few workers.
     reports: Vec<(WorkerIx, Resources)>,
-    /// What at least two workers have reported. One alone may have a faulty meter.
+    /// Usage that at least two workers have reported. A single worker may have a faulty meter.
     peak: Resources,
-    heard: Timestamp,
+    updated_at: Timestamp,
     failed_on: Vec<WorkerIx>,
 }
 
-/// What is known of all kinds.
+/// Estimates for all kinds.
 #[derive(Debug, Default)]
 pub(crate) struct Estimates {
-    kinds: HashMap<KindName, Kind>,
+    kinds: HashMap<KindName, KindEstimate>,
 }
 
 impl Estimates {
-    fn kind(&mut self, name: &KindName, now: Timestamp) -> &mut Kind {
-        if !self.kinds.contains_key(name) && self.kinds.len() >= KIND_LIMIT {
-            self.forget_one();
+    fn kind(&mut self, name: &KindName, now: Timestamp) -> &mut KindEstimate {
+        if !self.kinds.contains_key(name) && self.kinds.len() >= MAX_KINDS {
+            self.evict_oldest();
         }
         let kind = self.kinds.entry(name.clone()).or_default();
         kind.decay(now);
         kind
     }
 
-    fn forget_one(&mut self) {
-        let oldest = self.kinds.iter().min_by_key(|(name, k)| (k.heard, *name));
+    fn evict_oldest(&mut self) {
+        let oldest = self
+            .kinds
+            .iter()
+            .min_by_key(|(name, k)| (k.updated_at, *name));
         if let Some(name) = oldest.map(|(name, _)| name.clone()) {
             self.kinds.remove(&name);
         }
     }
 
-    /// Takes in a run that finished.
-    pub(crate) fn finished(&mut self, name: &KindName, took: Duration, now: Timestamp) {
+    /// Records a run that finished successfully.
+    pub(crate) fn record_finished(&mut self, name: &KindName, took: Duration, now: Timestamp) {
         let kind = self.kind(name, now);
         kind.failed_on.clear();
         let took = took.as_secs_f64();
         kind.run_time = Some(match kind.run_time {
-            Some(known) => known + (took - known) * NEW_PART,
+            Some(mean) => mean + (took - mean) * NEW_RUN_WEIGHT,
             None => took,
         });
     }
 
-    /// Takes in a run that failed; says whether the kind itself is at fault.
-    pub(crate) fn failed(&mut self, name: &KindName, worker: WorkerIx, now: Timestamp) -> bool {
+    /// Records a failed run; returns whether the kind itself is at fault.
+    pub(crate) fn record_failure(
+        &mut self,
+        name: &KindName,
+        worker: WorkerIx,
+        now: Timestamp,
+    ) -> bool {
         let kind = self.kind(name, now);
         if !kind.failed_on.contains(&worker) && kind.failed_on.len() < FAULTY_KIND_WORKERS {
             kind.failed_on.push(worker);
@@ -77,8 +87,8 @@
         kind.failed_on.len() >= FAULTY_KIND_WORKERS
     }
 
-    /// Takes in what a run was seen to use.
-    pub(crate) fn used(
+    /// Records the reported usage of a run.
+    pub(crate) fn record_usage(
         &mut self,
         name: &KindName,
         worker: WorkerIx,
@@ -88,7 +98,7 @@
         self.kind(name, now).report(worker, used);
     }
 
-    /// What one task is granted: the declared need is the floor.
+    /// Resources to grant to one task: the learnt size, but at least the declared need.
     pub(crate) fn grant(&self, spec: &JobSpec) -> Resources {
         let Some(kind) = self.kinds.get(&spec.kind) else {
             return spec.need;
@@ -107,21 +117,21 @@
             memory_mb: pick(above.memory_mb, rounded.memory_mb, spec.need.memory_mb),
             accelerators: spec.need.accelerators,
         };
-        larger(&learnt, &spec.need)
+        max_of_each(&learnt, &spec.need)
     }
 
-    /// How long one task is expected to run.
+    /// Expected run time of one task: the learnt one, or the declared one if none is known.
     pub(crate) fn run_time(&self, spec: &JobSpec) -> Duration {
         let learnt = self.kinds.get(&spec.kind).and_then(|k| k.run_time);
         learnt.map_or(spec.run_time, Duration::from_secs_f64)
     }
 }
 
-impl Kind {
+impl KindEstimate {
     fn report(&mut self, worker: WorkerIx, used: &Resources) {
-        if let Some((_, known)) = self.reports.iter_mut().find(|(ix, _)| *ix == worker) {
-            *known = larger(known, used);
-        } else if self.reports.len() < REPORTERS {
+        if let Some((_, reported)) = self.reports.iter_mut().find(|(ix, _)| *ix == worker) {
+            *reported = max_of_each(reported, used);
+        } else if self.reports.len() < MAX_REPORTS_PER_KIND {
             self.reports.push((worker, *used));
         } else {
             let least = self.reports.iter_mut().min_by_key(|(_, r)| r.memory_mb);
@@ -130,30 +140,30 @@
             }
         }
         self.peak = Resources {
-            millicores: second(self.reports.iter().map(|(_, r)| r.millicores)),
-            memory_mb: second(self.reports.iter().map(|(_, r)| r.memory_mb)),
+            millicores: second_largest(self.reports.iter().map(|(_, r)| r.millicores)),
+            memory_mb: second_largest(self.reports.iter().map(|(_, r)| r.memory_mb)),
             accelerators: 0,
         };
     }
 
     fn decay(&mut self, now: Timestamp) {
-        let passed = now.saturating_sub(self.heard);
-        self.heard = self.heard.max(now);
-        if passed.is_zero() {
+        let elapsed = now.saturating_sub(self.updated_at);
+        self.updated_at = self.updated_at.max(now);
+        if elapsed.is_zero() {
             return;
         }
-        let left = 0.5_f64.powf(passed.as_secs_f64() / HALF_LIFE.as_secs_f64());
-        let sunk = |n: u32| (f64::from(n) * left).ceil() as u32;
+        let left = 0.5_f64.powf(elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64());
+        let decayed = |n: u32| (f64::from(n) * left).ceil() as u32;
         let reports = self.reports.iter_mut().map(|(_, r)| r);
         for r in reports.chain([&mut self.peak]) {
-            r.millicores = sunk(r.millicores);
-            r.memory_mb = sunk(r.memory_mb);
+            r.millicores = decayed(r.millicores);
+            r.memory_mb = decayed(r.memory_mb);
         }
     }
 }
 
-/// The second largest, or zero.
-fn second(amounts: impl Iterator<Item = u32>) -> u32 {
+/// The second largest amount, or zero.
+fn second_largest(amounts: impl Iterator<Item = u32>) -> u32 {
     let both = amounts.fold((0, 0), |(first, second), n| {
         if n > first {
             (n, first)
--- a/src/placement/events.rs
+++ b/src/placement/events.rs
@@ -1,4 +1,4 @@
-//! Taking in events.
+//! Applies events to the scheduler's state.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 
 use super::cell::Outcome;
 use super::interface::{Decision, Event, StopReason};
-use super::records::{JobIx, Place, Run, RunRef};
+use super::records::{JobIx, Phase, Run, RunRef};
 use super::scheduler::Scheduler;
 use super::{never, rules};
 use crate::ids::Timestamp;
@@ -14,13 +14,13 @@
 use crate::wire::StopKind;
 use crate::workload::{JobSpec, MemberLoss, RunEnd, TaskRun, WorkClass};
 
-/// Wait before a refused start is tried again.
-const REFUSED_WAIT: Duration = Duration::from_millis(200);
-/// Longest time that a long job is put behind shorter ones at full waiting weight.
-const LONGEST_DELAY: Duration = Duration::from_secs(900);
+/// Delay before a refused start is retried.
+const REFUSED_START_DELAY: Duration = Duration::from_millis(200);
+/// Longest delay, at full waiting weight, of a long job's queue time behind shorter jobs.
+const MAX_QUEUE_DELAY: Duration = Duration::from_secs(900);
 
 impl Scheduler {
-    pub(crate) fn take_in(&mut self, now: Timestamp, event: Event) {
+    pub(crate) fn apply_event(&mut self, now: Timestamp, event: Event) {
         match event {
             Event::Policy(policy) => self.policy = policy,
             Event::Teams(teams) => self.teams.set(&teams),
@@ -39,7 +39,7 @@
                     self.charge_restored(ix);
                     let job = self.cell.job(ix);
                     if job.running > 0 && !job.waiting.is_empty() {
-                        self.stop_parted(ix);
+                        self.stop_partial_gang(ix);
                     }
                     self.admit(ix);
                 }
@@ -60,16 +60,16 @@
             self.cell.worker_mut(ix).drain = Some(deadline);
             self.cell.reindex(ix);
         }
-        self.review_never();
-        self.wake_for(ix);
+        self.recheck_never_runs();
+        self.wake_fitting(ix);
     }
 
-    /// Looks again at the jobs that could never run.
-    fn review_never(&mut self) {
-        for (ix, seq) in std::mem::take(&mut self.never) {
-            let known = self.cell.jobs[ix as usize].as_ref();
-            if known.is_some_and(|job| job.seq == seq && !job.closed) {
-                self.cell.job_mut(ix).never = None;
+    /// Checks again the jobs that fitted on no worker.
+    fn recheck_never_runs(&mut self) {
+        for (ix, seq) in std::mem::take(&mut self.never_runs) {
+            let found = self.cell.jobs[ix as usize].as_ref();
+            if found.is_some_and(|job| job.seq == seq && !job.closed) {
+                self.cell.job_mut(ix).never_runs = None;
                 self.admit(ix);
             }
         }
@@ -85,35 +85,35 @@
         }
     }
 
-    /// Queues a job, or says that it can never run.
+    /// Queues a job, or reports that it fits on no worker.
     fn admit(&mut self, ix: JobIx) {
-        let order = self.order_of(ix);
+        let queue_time = self.queue_time_of(ix);
         let job = self.cell.job_mut(ix);
-        job.order = order;
+        job.queue_time = queue_time;
         let (spec, seq) = (job.spec.clone(), job.seq);
         if let Some(reason) = never::reason(&self.cell, &spec) {
             self.pending.push(Decision::NeverRuns {
                 job: spec.name.clone(),
                 reason: reason.clone(),
             });
-            self.cell.job_mut(ix).never = Some(reason);
-            self.never.push((ix, seq));
+            self.cell.job_mut(ix).never_runs = Some(reason);
+            self.never_runs.push((ix, seq));
             return;
         }
         self.enqueue(ix);
-        self.finish_if_over(ix);
+        self.remove_if_finished(ix);
     }
 
-    /// A job's place in time: its arrival, put off by part of its run time, so that short work
-    /// goes first but no job waits for more than a bounded span behind later ones.
-    fn order_of(&self, ix: JobIx) -> Timestamp {
+    /// A job's sort key in its queue: its arrival plus part of its run time, so that short jobs go
+    /// first but no job is delayed without bound by later ones.
+    fn queue_time_of(&self, ix: JobIx) -> Timestamp {
         let job = self.cell.job(ix);
         if job.long_running() {
-            return job.at;
+            return job.accepted_at;
         }
-        let run_time = self.estimates.run_time(&job.spec).min(LONGEST_DELAY);
+        let run_time = self.estimates.run_time(&job.spec).min(MAX_QUEUE_DELAY);
         let weight = self.policy.waiting_weight.min(100);
-        job.at + run_time * weight / 100
+        job.accepted_at + run_time * weight / 100
     }
 
     fn charge_restored(&mut self, ix: JobIx) {
@@ -123,11 +123,11 @@
         let granted: Vec<Resources> = running.map(|r| r.granted).collect();
         for granted in granted {
             self.teams.charge(team, &granted);
-            self.quick.started(&spec, &granted);
+            self.quick_usage.task_started(&spec, &granted);
         }
     }
 
-    /// Takes in another specification of a long-running job: its runs are replaced in steps.
+    /// Applies a new specification of a long-running job; its runs are replaced in steps.
     fn update(&mut self, ix: JobIx, spec: Arc<JobSpec>) {
         let job = self.cell.job(ix);
         if !job.long_running() || *job.spec == *spec || !rules::long_running(&spec) {
@@ -136,7 +136,7 @@
         let tasks = spec.tasks;
         self.dequeue(ix);
         let mut spec = (*spec).clone();
-        // Charges and spread counts of the runs in progress stay where they were made.
+        // Running tasks were charged and counted under the old values of these fields.
         spec.team.clone_from(&self.cell.job(ix).spec.team);
         spec.spread = self.cell.job(ix).spec.spread;
         spec.band = self.cell.job(ix).spec.band;
@@ -162,7 +162,7 @@
             self.stop_run(r, StopKind::Checkpoint, StopReason::Resized);
         }
         self.enqueue(ix);
-        self.finish_if_over(ix);
+        self.remove_if_finished(ix);
     }
 
     fn cancel(&mut self, name: &crate::ids::JobName) {
@@ -170,28 +170,28 @@
             return;
         };
         self.dequeue(ix);
-        self.drop_holds_of(ix);
+        self.drop_job_holds(ix);
         let job = self.cell.job_mut(ix);
         job.closed = true;
         if job.running > 0 {
             let seq = job.seq;
             self.cancelled.push_back((ix, seq));
         }
-        self.finish_if_over(ix);
+        self.remove_if_finished(ix);
     }
 
     /// Stops the runs of cancelled jobs; the event itself only closed the job.
     pub(crate) fn stop_cancelled(&mut self, out: &mut Vec<Decision>) {
         while let Some((ix, seq)) = self.cancelled.pop_front() {
-            let known = self.cell.jobs[ix as usize].as_ref();
-            if known.is_some_and(|job| job.seq == seq) {
+            let found = self.cell.jobs[ix as usize].as_ref();
+            if found.is_some_and(|job| job.seq == seq) {
                 self.stop_all(ix, StopReason::Cancelled);
             }
         }
         out.append(&mut self.pending);
     }
 
-    /// Asks every run of a job to end.
+    /// Asks every run of a job to end, with a checkpoint where it supports one.
     pub(crate) fn stop_all(&mut self, ix: JobIx, reason: StopReason) {
         let tasks = self.cell.job(ix).tasks.iter().enumerate();
         let running: Vec<RunRef> = tasks
@@ -206,14 +206,14 @@
         }
     }
 
-    /// Frees what a run held and lets others have it.
+    /// Frees a run's grant and wakes the queues that may use it.
     fn release(&mut self, r: RunRef) -> Option<Run> {
         let run = self.cell.release(r)?;
         let spec = self.cell.job(r.job).spec.clone();
         let team = self.teams.ix(&spec.team);
         self.teams.refund(team, &run.granted);
-        self.quick.ended(&spec, &run.granted);
-        self.wake_for(run.worker);
+        self.quick_usage.task_ended(&spec, &run.granted);
+        self.wake_fitting(run.worker);
         for queue in self.queues.ready_of(team) {
             self.wake(queue);
         }
@@ -231,39 +231,39 @@
             RunEnd::Done => self.run_done(now, r, &held),
             RunEnd::Failed => self.run_failed(now, r, &held),
             RunEnd::Checkpointed | RunEnd::Stopped | RunEnd::NeverStarted => {
-                self.trial_void(r, held.worker);
+                self.discard_trial(r, held.worker);
             }
         }
         let open = !self.cell.job(r.job).closed;
-        let broken = end == RunEnd::Failed && open;
-        let parted = end != RunEnd::Failed && end != RunEnd::Done && open;
-        if self.wanted(r) && self.cell.outcome(r.job, end) == Outcome::Again {
+        let member_failed = end == RunEnd::Failed && open;
+        let partial = end != RunEnd::Failed && end != RunEnd::Done && open;
+        if self.is_within_task_count(r) && self.cell.outcome(r.job, end) == Outcome::Restart {
             match end {
                 RunEnd::Failed | RunEnd::Done => self.back_off(now, r),
-                _ => self.cell.wait_again(r),
+                _ => self.cell.requeue_task(r),
             }
         }
-        if broken {
+        if member_failed {
             self.member_lost(r);
         }
-        if parted {
-            self.stop_parted(r.job);
+        if partial {
+            self.stop_partial_gang(r.job);
         }
         self.enqueue(r.job);
-        self.finish_if_over(r.job);
+        self.remove_if_finished(r.job);
     }
 
-    /// A gang of which one run was stopped, for a drain or for later work, starts whole again;
-    /// that is no loss by which a job would fail.
-    fn stop_parted(&mut self, ix: JobIx) {
+    /// Stops a gang that lost a run to a refused start, a drain or a preemption, so that it
+    /// restarts as a whole. This does not count as a member loss, which could fail the job.
+    fn stop_partial_gang(&mut self, ix: JobIx) {
         let spec = &self.cell.job(ix).spec;
         if spec.class == WorkClass::Gang && spec.on_member_loss != MemberLoss::Replace {
             self.stop_all(ix, StopReason::GangBroken);
         }
     }
 
-    /// Says whether the job still wants this task.
-    fn wanted(&self, r: RunRef) -> bool {
+    /// Whether the task is within the job's current number of tasks.
+    fn is_within_task_count(&self, r: RunRef) -> bool {
         r.index < self.cell.job(r.job).spec.tasks
     }
 
@@ -274,18 +274,18 @@
         let Some(held) = self.release(r) else {
             return;
         };
-        self.trial_void(r, held.worker);
-        if restart && self.wanted(r) && !self.cell.job(r.job).closed {
-            self.cell.wait_again(r);
+        self.discard_trial(r, held.worker);
+        if restart && self.is_within_task_count(r) && !self.cell.job(r.job).closed {
+            self.cell.requeue_task(r);
         }
         if !self.cell.job(r.job).closed {
             self.member_lost(r);
         }
         self.enqueue(r.job);
-        self.finish_if_over(r.job);
+        self.remove_if_finished(r.job);
     }
 
-    /// A refused start never happened: its attempt number is used again.
+    /// Undoes a start that was refused; its attempt number is used again.
     fn start_refused(&mut self, now: Timestamp, run: &TaskRun) {
         let Some((r, _)) = self.cell.find_run(run) else {
             return;
@@ -293,17 +293,17 @@
         let Some(held) = self.release(r) else {
             return;
         };
-        self.trial_void(r, held.worker);
+        self.discard_trial(r, held.worker);
         let job = self.cell.job_mut(r.job);
         job.tasks[r.index as usize].attempt -= 1;
         if !job.closed && r.index < job.spec.tasks {
-            self.wait_until(now + REFUSED_WAIT, r);
-            self.stop_parted(r.job);
+            self.back_off_until(now + REFUSED_START_DELAY, r);
+            self.stop_partial_gang(r.job);
         }
-        self.finish_if_over(r.job);
+        self.remove_if_finished(r.job);
     }
 
-    /// Applies a gang's rule after one of its runs failed or was lost.
+    /// Applies a gang's `on_member_loss` rule after one of its runs failed or was lost.
     fn member_lost(&mut self, r: RunRef) {
         let job = self.cell.job(r.job);
         if job.spec.class != WorkClass::Gang {
@@ -330,10 +330,10 @@
         }
     }
 
-    /// Closes a job for good and stops what a gang still runs.
+    /// Fails a job for good and stops the runs of a gang.
     pub(crate) fn give_up(&mut self, ix: JobIx, job: crate::ids::JobName, reason: String) {
         self.dequeue(ix);
-        self.drop_holds_of(ix);
+        self.drop_job_holds(ix);
         self.pending.push(Decision::GiveUp { job, reason });
         self.cell.job_mut(ix).closed = true;
         if self.cell.job(ix).spec.class == WorkClass::Gang {
@@ -341,36 +341,36 @@
         }
     }
 
-    /// Keeps a task from starting until a time.
-    pub(crate) fn wait_until(&mut self, at: Timestamp, r: RunRef) {
+    /// Puts a task into backoff until the given time.
+    pub(crate) fn back_off_until(&mut self, at: Timestamp, r: RunRef) {
         let job = self.cell.job_mut(r.job);
-        job.tasks[r.index as usize].place = Place::Backoff;
+        job.tasks[r.index as usize].phase = Phase::Backoff;
         job.backing_off += 1;
         let seq = job.seq;
         self.backoff.push(Reverse((at, r.job, seq, r.index)));
     }
 
-    /// Lets the tasks wait whose backoff is over.
+    /// Requeues the tasks whose backoff has ended.
     pub(crate) fn end_backoffs(&mut self, now: Timestamp) {
         while let Some(&Reverse((at, job, seq, index))) = self.backoff.peek() {
             if at > now {
                 return;
             }
             self.backoff.pop();
-            let known = self.cell.jobs[job as usize].as_mut();
-            let Some(known) = known.filter(|j| j.seq == seq) else {
+            let found = self.cell.jobs[job as usize].as_mut();
+            let Some(found) = found.filter(|j| j.seq == seq) else {
                 continue;
             };
-            if !matches!(known.tasks[index as usize].place, Place::Backoff) {
+            if !matches!(found.tasks[index as usize].phase, Phase::Backoff) {
                 continue;
             }
-            known.backing_off -= 1;
-            known.tasks[index as usize].place = Place::Ended;
-            if !known.closed && index < known.spec.tasks {
-                self.cell.wait_again(RunRef { job, index });
+            found.backing_off -= 1;
+            found.tasks[index as usize].phase = Phase::Ended;
+            if !found.closed && index < found.spec.tasks {
+                self.cell.requeue_task(RunRef { job, index });
                 self.enqueue(job);
             }
-            self.finish_if_over(job);
+            self.remove_if_finished(job);
         }
     }
 }
--- a/src/placement/explain.rs
+++ b/src/placement/explain.rs
@@ -1,17 +1,17 @@
-//! Why a job waits now.
+//! Explains why a job is waiting.
 
 use super::cell::Cell;
 use super::never::cores;
 use super::records::{Job, JobIx};
 use super::scheduler::Scheduler;
-use super::search::Ask;
+use super::search::SearchRequest;
 use crate::ids::{JobName, Timestamp};
 use crate::resources::Resources;
 use crate::workload::WorkClass;
 
-/// How many workers have room, by resource.
+/// Number of workers by what they have room for.
 #[derive(Debug, Default)]
-struct Rooms {
+struct RoomCounts {
     suitable: u32,
     closed: u32,
     cores: u32,
@@ -28,7 +28,7 @@
         if job.closed {
             return None;
         }
-        if let Some(reason) = &job.never {
+        if let Some(reason) = &job.never_runs {
             return Some(format!("It can never run in this cell as it is: {reason}."));
         }
         if job.waiting.is_empty() {
@@ -60,23 +60,27 @@
 
     fn explain_waiting(&self, now: Timestamp, ix: JobIx, job: &Job) -> String {
         let need = self.grant_for(now, ix);
-        let waits = now.saturating_sub(job.at).as_secs_f64();
+        let waits = now.saturating_sub(job.accepted_at).as_secs_f64();
         let start = format!(
             "{} of its tasks have waited {waits:.1} s",
             job.waiting.len()
         );
-        let rooms = self.rooms(ix, &need);
+        let counts = self.count_rooms(ix, &need);
         if job.spec.class == WorkClass::Gang && job.running > 0 {
-            return format!("{start}: {} others of its gang end first.", job.running);
+            return format!(
+                "{start}: {} other runs of its gang have to end first.",
+                job.running
+            );
         }
-        if self.is_held_back(ix, &need, 1) {
+        if self.lacks_headroom(ix, &need, 1) {
             return format!(
-                "{start}: room for {} quick tasks is kept free and room for {} is left.",
-                self.kept_slots(),
+                "{start}: room for {} batch tasks of the bands high and urgent is kept free and \
+                 room for {} is left.",
+                self.headroom_slots(),
                 self.cell.quick_slots,
             );
         }
-        let ahead = self.ahead(job);
+        let jobs_ahead = self.jobs_ahead(job);
         let gang = match job.spec.class {
             WorkClass::Gang => format!(" for {} tasks at once", job.waiting.len()),
             _ => String::new(),
@@ -87,31 +91,31 @@
             cores(need.millicores),
             need.memory_mb,
             need.accelerators,
-            rooms.suitable,
-            rooms.cores,
-            rooms.memory,
-            rooms.accelerators,
-            rooms.all,
+            counts.suitable,
+            counts.cores,
+            counts.memory,
+            counts.accelerators,
+            counts.all,
         );
-        let extra = self.extra(now, ix, &rooms);
-        format!("{start}: {room}; {ahead} jobs are ahead of it{extra}.")
+        let other_reasons = self.other_reasons(now, ix, &counts);
+        format!("{start}: {room}; {jobs_ahead} jobs are ahead of it{other_reasons}.")
     }
 
-    fn extra(&self, now: Timestamp, ix: JobIx, rooms: &Rooms) -> String {
+    fn other_reasons(&self, now: Timestamp, ix: JobIx, counts: &RoomCounts) -> String {
         let mut text = String::new();
-        if rooms.closed > 0 {
-            text += &format!(", {} workers are drained or quarantined", rooms.closed);
+        if counts.closed > 0 {
+            text += &format!(", {} workers are drained or quarantined", counts.closed);
         }
-        if rooms.held > 0 {
-            text += &format!(", {} are held for other jobs", rooms.held);
+        if counts.held > 0 {
+            text += &format!(", {} are held for other jobs", counts.held);
         }
         match self.reservation {
             Some(r) if r.job == ix => {
                 let wait = r.starts.saturating_sub(now).as_secs_f64();
                 text += &format!(", and room held for it is expected in {wait:.1} s");
             }
-            _ if self.cell.job(ix).claims > 0 => {
-                text += ", and runs of earlier bands are being stopped for it";
+            _ if self.cell.job(ix).preemption_holds > 0 => {
+                text += ", and runs are being stopped to make room for it";
             }
             _ => {}
         }
@@ -127,53 +131,57 @@
         text
     }
 
-    fn rooms(&self, ix: JobIx, need: &Resources) -> Rooms {
-        let mut rooms = Rooms::default();
-        let ask = Ask::new(&self.cell, ix, *need, Timestamp::MAX);
+    fn count_rooms(&self, ix: JobIx, need: &Resources) -> RoomCounts {
+        let mut counts = RoomCounts::default();
+        let req = SearchRequest::new(&self.cell, ix, *need, Timestamp::MAX);
         for (_, worker) in self.cell.iter_workers() {
             let group = worker
                 .slot
                 .group
                 .map(|g| &self.cell.index.groups[g as usize]);
-            if !worker.up || !group.is_some_and(|g| ask.suits(g)) {
+            if !worker.up || !group.is_some_and(|g| req.suits(g)) {
                 continue;
             }
-            rooms.suitable += 1;
+            counts.suitable += 1;
             if !worker.open() {
-                rooms.closed += 1;
+                counts.closed += 1;
                 continue;
             }
-            if !ask.may_use_held(worker) {
-                rooms.held += 1;
+            if !req.may_use_held(worker) {
+                counts.held += 1;
                 continue;
             }
             let room = worker.room();
-            rooms.cores += u32::from(need.millicores <= room.millicores);
-            rooms.memory += u32::from(need.memory_mb <= room.memory_mb);
-            rooms.accelerators += u32::from(need.accelerators <= room.accelerators);
-            rooms.all += u32::from(need.fits_in(&room));
+            counts.cores += u32::from(need.millicores <= room.millicores);
+            counts.memory += u32::from(need.memory_mb <= room.memory_mb);
+            counts.accelerators += u32::from(need.accelerators <= room.accelerators);
+            counts.all += u32::from(need.fits_in(&room));
         }
-        rooms
+        counts
     }
 
-    /// Waiting jobs of later bands, and earlier ones of its own queue.
-    fn ahead(&self, job: &Job) -> usize {
+    /// Number of waiting jobs of higher bands, and of those before it in its own queue.
+    fn jobs_ahead(&self, job: &Job) -> usize {
         let later = self.queues.iter().filter(|(_, q)| q.band > job.spec.band);
         let later: usize = later.map(|(_, q)| q.len()).sum();
         let own = job
             .queue
-            .map_or(0, |q| self.queues.get(q).ahead_of(job.order, job.seq));
+            .map_or(0, |q| self.queues.get(q).ahead_of(job.queue_time, job.seq));
         later + own
     }
 }
 
-/// Why a job waits with a placer that knows no more than its order.
-pub(crate) fn plain(cell: &Cell, now: Timestamp, name: &JobName) -> Option<String> {
+/// Explains the wait of a job under a placer that has only an arrival order.
+pub(crate) fn explain_without_queues(
+    cell: &Cell,
+    now: Timestamp,
+    name: &JobName,
+) -> Option<String> {
     let job = cell.job(cell.find_job(name)?);
     if job.waiting.is_empty() || job.closed {
         return None;
     }
-    let waits = now.saturating_sub(job.at).as_secs_f64();
+    let waits = now.saturating_sub(job.accepted_at).as_secs_f64();
     Some(format!(
         "{} of its tasks have waited {waits:.1} s for a worker with room.",
         job.waiting.len()
--- a/src/placement/faults.rs
+++ b/src/placement/faults.rs
@@ -1,5 +1,5 @@
-//! Failures: whose fault they are, backoff, quarantine with trials, and tasks that use more
-//! than they declared.
+//! Failures of runs: backoff, finding out whether job or worker is at fault, quarantine with
+//! trials, and tasks that use more than they were granted.
 
 use std::time::Duration;
 
@@ -14,28 +14,28 @@
 use crate::wire::StopKind;
 use crate::workload::{TaskRun, WorkClass};
 
-/// First wait after a failure; doubled for each further one.
-const BACKOFF_FIRST: Duration = Duration::from_secs(1);
-/// Longest wait after a failure.
-const BACKOFF_LONGEST: Duration = Duration::from_secs(60);
-/// Doublings of the wait for the next trial.
-const TRIAL_DOUBLINGS: u32 = 3;
-/// Workers on which a job failed that are remembered.
-const FAILED_ON_LIMIT: usize = 8;
-/// Different workers on which a job must fail to be at fault itself.
+/// Backoff after the first failure; doubled for each further one.
+const MIN_BACKOFF: Duration = Duration::from_secs(1);
+/// Upper limit on the backoff, before jitter.
+const MAX_BACKOFF: Duration = Duration::from_secs(60);
+/// Upper limit on the doublings of the time to a worker's next trial.
+const MAX_TRIAL_DOUBLINGS: u32 = 3;
+/// Number of workers remembered per job on which it failed.
+const MAX_FAILED_ON: usize = 8;
+/// Number of different workers on which a job must fail before the job itself is at fault.
 const FAULTY_JOB_WORKERS: usize = 2;
-/// At most one worker in this many is quarantined, so that faulty work cannot empty the cell.
-const QUARANTINE_PART: usize = 4;
+/// At most one worker in this many is in quarantine, so that faulty jobs cannot empty the cell.
+const QUARANTINE_DIVISOR: usize = 4;
 
 impl Scheduler {
-    /// Puts a task off after a failure, longer each time, with jitter so that tasks which
-    /// failed together do not come back together.
+    /// Delays a task's next start after a failure. The delay has jitter, so that tasks that failed
+    /// together do not restart together.
     pub(crate) fn back_off(&mut self, now: Timestamp, r: RunRef) {
         let failures = self.cell.job(r.job).tasks[r.index as usize].failures;
         let doublings = failures.saturating_sub(1).min(6);
-        let wait = (BACKOFF_FIRST * 2u32.pow(doublings)).min(BACKOFF_LONGEST);
+        let wait = (MIN_BACKOFF * 2u32.pow(doublings)).min(MAX_BACKOFF);
         let jitter = self.rng.random_range(0.5..1.5);
-        self.wait_until(now + wait.mul_f64(jitter), r);
+        self.back_off_until(now + wait.mul_f64(jitter), r);
     }
 
     pub(crate) fn run_done(&mut self, now: Timestamp, r: RunRef, run: &Run) {
@@ -44,33 +44,33 @@
         let kind = job.spec.kind.clone();
         if !job.long_running() {
             let took = now.saturating_sub(run.since);
-            self.estimates.finished(&kind, took, now);
+            self.estimates.record_finished(&kind, took, now);
         }
         let Some(worker) = self.cell.workers[run.worker as usize].as_mut() else {
             return;
         };
-        worker.failed_here.clear();
-        let tried = worker.quarantine.is_some_and(|q| q.trial == Some(r));
-        if tried {
-            self.let_back(run.worker);
+        worker.recent_failures.clear();
+        let was_trial = worker.quarantine.is_some_and(|q| q.trial == Some(r));
+        if was_trial {
+            self.end_quarantine(run.worker);
         }
     }
 
-    fn let_back(&mut self, ix: WorkerIx) {
+    fn end_quarantine(&mut self, ix: WorkerIx) {
         self.cell.worker_mut(ix).quarantine = None;
         self.quarantined.retain(|&other| other != ix);
         self.cell.reindex(ix);
         let id = self.cell.worker(ix).spec.id.clone();
         self.pending.push(Decision::Release(id));
-        self.wake_for(ix);
+        self.wake_fitting(ix);
     }
 
     pub(crate) fn run_failed(&mut self, now: Timestamp, r: RunRef, run: &Run) {
-        let trial = self.trial_failed(now, r, run.worker);
+        let trial = self.record_trial_failure(now, r, run.worker);
         let job = self.cell.job_mut(r.job);
         let kind = job.spec.kind.clone();
-        let known = job.failed_on.contains(&run.worker);
-        if !known && job.failed_on.len() < FAILED_ON_LIMIT {
+        let listed = job.failed_on.contains(&run.worker);
+        if !listed && job.failed_on.len() < MAX_FAILED_ON {
             job.failed_on.push(run.worker);
         }
         if trial {
@@ -78,9 +78,9 @@
         }
         job.tasks[r.index as usize].failures += 1;
         let job_at_fault = job.failed_on.len() >= FAULTY_JOB_WORKERS;
-        let kind_at_fault = self.estimates.failed(&kind, run.worker, now);
+        let kind_at_fault = self.estimates.record_failure(&kind, run.worker, now);
         if !job_at_fault && !kind_at_fault {
-            self.count_against(now, run.worker, r);
+            self.count_worker_failure(now, run.worker, r);
         }
         self.give_up_if_exhausted(r);
     }
@@ -104,23 +104,24 @@
         self.give_up(r.job, name, reason);
     }
 
-    /// Counts a failure against the worker, and quarantines it when different jobs failed.
-    fn count_against(&mut self, now: Timestamp, ix: WorkerIx, run: RunRef) {
+    /// Counts a failure against the worker, which is quarantined once enough different jobs failed
+    /// there.
+    fn count_worker_failure(&mut self, now: Timestamp, ix: WorkerIx, run: RunRef) {
         let seq = self.cell.job(run.job).seq;
         let limit = self.policy.quarantine_failures.max(1) as usize;
-        let most = self.cell.workers.len() / QUARANTINE_PART + 1;
-        let full = self.quarantined.len() >= most;
+        let max_quarantined = self.cell.workers.len() / QUARANTINE_DIVISOR + 1;
+        let at_limit = self.quarantined.len() >= max_quarantined;
         let trial_at = now + self.policy.quarantine_trial;
         let Some(worker) = self.cell.workers[ix as usize].as_mut() else {
             return;
         };
-        if worker.failed_here.iter().any(|f| f.seq == seq) {
+        if worker.recent_failures.iter().any(|f| f.seq == seq) {
             return;
         }
-        if worker.failed_here.len() < limit {
-            worker.failed_here.push(FailedTask { run, seq });
+        if worker.recent_failures.len() < limit {
+            worker.recent_failures.push(FailedTask { run, seq });
         }
-        if worker.failed_here.len() < limit || full || worker.quarantine.is_some() {
+        if worker.recent_failures.len() < limit || at_limit || worker.quarantine.is_some() {
             return;
         }
         worker.quarantine = Some(Quarantine {
@@ -133,22 +134,22 @@
         self.cell.reindex(ix);
         self.quarantined.push(ix);
         self.pending.push(Decision::Quarantine(id));
-        self.forgive(ix);
+        self.uncount_failures(ix);
     }
 
-    /// The failures on a worker that is at fault are not the tasks' own.
-    fn forgive(&mut self, ix: WorkerIx) {
-        for failed in self.cell.worker(ix).failed_here.clone() {
-            let known = self.cell.jobs[failed.run.job as usize].as_mut();
-            if let Some(job) = known.filter(|j| j.seq == failed.seq) {
+    /// Takes the counted failures back from the tasks: the worker was at fault.
+    fn uncount_failures(&mut self, ix: WorkerIx) {
+        for failed in self.cell.worker(ix).recent_failures.clone() {
+            let found = self.cell.jobs[failed.run.job as usize].as_mut();
+            if let Some(job) = found.filter(|j| j.seq == failed.seq) {
                 let task = &mut job.tasks[failed.run.index as usize];
                 task.failures = task.failures.saturating_sub(1);
             }
         }
     }
 
-    /// Notes that a trial failed; says whether this run was one.
-    fn trial_failed(&mut self, now: Timestamp, r: RunRef, ix: WorkerIx) -> bool {
+    /// Schedules the next trial if the failed run was a trial; returns whether it was.
+    fn record_trial_failure(&mut self, now: Timestamp, r: RunRef, ix: WorkerIx) -> bool {
         let wait = self.policy.quarantine_trial;
         let Some(worker) = self.cell.workers[ix as usize].as_mut() else {
             return false;
@@ -158,12 +159,12 @@
         };
         q.trial = None;
         q.failed_trials += 1;
-        q.trial_at = now + wait * 2u32.pow(q.failed_trials.min(TRIAL_DOUBLINGS));
+        q.trial_at = now + wait * 2u32.pow(q.failed_trials.min(MAX_TRIAL_DOUBLINGS));
         true
     }
 
-    /// A trial that was stopped or lost says nothing; another may follow at once.
-    pub(crate) fn trial_void(&mut self, r: RunRef, ix: WorkerIx) {
+    /// Ends a trial that was stopped or lost. It proves nothing, so another may follow at once.
+    pub(crate) fn discard_trial(&mut self, r: RunRef, ix: WorkerIx) {
         let worker = self.cell.workers[ix as usize].as_mut();
         let quarantine = worker.and_then(|w| w.quarantine.as_mut());
         if let Some(q) = quarantine.filter(|q| q.trial == Some(r)) {
@@ -171,12 +172,12 @@
         }
     }
 
-    /// Gives each quarantined worker whose time has come one idempotent task to try.
-    pub(crate) fn try_quarantined(&mut self, now: Timestamp, out: &mut Vec<Decision>) {
+    /// Starts a trial, one idempotent task, on each quarantined worker whose trial is due.
+    pub(crate) fn start_due_trials(&mut self, now: Timestamp, out: &mut Vec<Decision>) {
         let workers = &self.cell.workers;
         self.quarantined.retain(|&ix| {
-            let known = workers[ix as usize].as_ref();
-            known.is_some_and(|w| w.quarantine.is_some())
+            let found = workers[ix as usize].as_ref();
+            found.is_some_and(|w| w.quarantine.is_some())
         });
         for ix in self.quarantined.clone() {
             let worker = self.cell.worker(ix);
@@ -190,15 +191,16 @@
         }
     }
 
-    /// Without a task to try, a worker would stay out for ever while gangs wait for its room.
-    /// It is let back after one more span; the next failure quarantines it again.
-    fn let_back_untried(&mut self, now: Timestamp, ix: WorkerIx) {
+    /// Ends the quarantine of a worker for which no trial task was found within one more trial
+    /// interval: it would never end while, for example, only gangs wait for its room. The worker's
+    /// next failure quarantines it again.
+    fn end_quarantine_untested(&mut self, now: Timestamp, ix: WorkerIx) {
         let wait = self.policy.quarantine_trial;
         let worker = self.cell.worker_mut(ix);
-        let over = worker.quarantine.is_some_and(|q| now >= q.trial_at + wait);
-        if over && !self.queues.blocked.is_empty() {
-            worker.failed_here.pop();
-            self.let_back(ix);
+        let overdue = worker.quarantine.is_some_and(|q| now >= q.trial_at + wait);
+        if overdue && !self.queues.blocked.is_empty() {
+            worker.recent_failures.pop();
+            self.end_quarantine(ix);
         }
     }
 
@@ -211,13 +213,13 @@
             let head = q.head()?;
             let job = self.cell.job(head);
             let spec = &job.spec;
-            let plain = spec.class == WorkClass::Batch && spec.idempotent && !job.closed;
+            let eligible = spec.class == WorkClass::Batch && spec.idempotent && !job.closed;
             let grant = self.estimates.grant(spec);
             let fits = grant.fits_in(&room) && search::group_suits(spec, &grant, group);
-            (plain && fits && !job.waiting.is_empty()).then_some((head, grant))
+            (eligible && fits && !job.waiting.is_empty()).then_some((head, grant))
         });
         let Some((job, grant)) = suitable else {
-            self.let_back_untried(now, ix);
+            self.end_quarantine_untested(now, ix);
             return;
         };
         let r = self.start_one(now, job, ix, grant, out);
@@ -230,38 +232,39 @@
         }
     }
 
-    /// Takes in what a run was seen to use. A report never frees room: it may only take more
-    /// away, because it lags behind what was granted since.
+    /// Applies a usage report. Reports lag behind the grants made since, so they only reduce a
+    /// worker's room and never free any.
     pub(crate) fn usage(&mut self, now: Timestamp, run: &TaskRun, used: &Resources) {
         let Some((r, held)) = self.cell.find_run(run) else {
             return;
         };
         let spec = self.cell.job(r.job).spec.clone();
         let capacity = self.cell.worker(held.worker).spec.capacity;
-        // A report above the whole worker is a lie or a fault of the meter: it is cut to what
-        // can be true, so that it cannot teach a size that fits nowhere.
+        // A report larger than the worker is false or a measuring error. It is capped, so that no
+        // size is learnt that fits on no worker.
         let used = Resources {
             millicores: used.millicores.min(capacity.millicores),
             memory_mb: used.memory_mb.min(capacity.memory_mb),
             accelerators: 0,
         };
-        self.estimates.used(&spec.kind, held.worker, &used, now);
-        let over = used.saturating_sub(&held.granted);
-        self.cell.set_over(r, over);
-        if over == Resources::ZERO || held.ending != Ending::No {
+        self.estimates
+            .record_usage(&spec.kind, held.worker, &used, now);
+        let excess = used.saturating_sub(&held.granted);
+        self.cell.set_excess(r, excess);
+        if excess == Resources::ZERO || held.ending != Ending::NotRequested {
             return;
         }
         if !held.throttled {
             self.throttle(r);
-        } else if over.memory_mb > 0 && rules::preemptible(&spec) && self.may_move(r) {
-            // Throttling does not give memory back: the task moves to a larger room.
+        } else if excess.memory_mb > 0 && rules::preemptible(&spec) && self.may_move(r) {
+            // Throttling does not free memory: the task has to move to a worker with more room.
             let job = self.cell.job_mut(r.job);
             job.tasks[r.index as usize].preemptions += 1;
             self.stop_run(r, StopKind::Checkpoint, StopReason::OverDeclared);
         }
     }
 
-    /// A task that was moved often enough stays where it is, throttled.
+    /// Whether the task may be moved again; beyond the preemption limit it stays, throttled.
     fn may_move(&self, r: RunRef) -> bool {
         let task = &self.cell.job(r.job).tasks[r.index as usize];
         task.preemptions < self.policy.preemption_limit
--- a/src/placement/interface.rs
+++ b/src/placement/interface.rs
@@ -1,4 +1,4 @@
-//! Events a placer is fed and decisions it gives.
+//! The interface of placers: events in, decisions out.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,180 +16,181 @@
     Policy(Policy),
     /// The document's teams changed.
     Teams(BTreeMap<TeamName, Team>),
-    /// A worker joined, or came back with another shape.
+    /// A worker joined, or rejoined with another capacity or location.
     WorkerUp(WorkerSpec),
-    /// A worker is gone; each of its runs is reported by its own event.
+    /// A worker is gone; the loss of each of its runs is reported by an event of its own.
     WorkerDown(WorkerId),
-    /// A worker gets no new work and is empty by the deadline.
+    /// A worker gets no new tasks and has to be empty by the deadline.
     DrainStarted {
-        /// The worker.
+        /// Also valid for a worker that has not joined yet.
         worker: WorkerId,
-        /// When what still runs there is stopped.
+        /// When the runs that are left are stopped.
         deadline: Timestamp,
     },
-    /// The worker takes work again.
+    /// The drain was withdrawn: the worker gets tasks again.
     DrainEnded(WorkerId),
     /// A job was accepted.
     JobArrived {
-        /// The job.
+        /// Another specification under the name of a long-running job replaces its runs in steps.
         spec: Arc<JobSpec>,
-        /// When it was accepted.
+        /// When it was accepted; its waiting time counts from here.
         at: Timestamp,
     },
-    /// A job is known from before: sent once for each job when a new leader builds its placer,
-    /// after all workers.
+    /// A job accepted under an earlier leader: sent once per job when a new leader builds its
+    /// placer, after the events of all workers.
     JobRestored {
-        /// The job.
+        /// Its current specification.
         spec: Arc<JobSpec>,
-        /// When it was accepted.
+        /// When it was accepted, under whichever leader.
         at: Timestamp,
         /// State of each task, by index.
         tasks: Vec<RestoredTask>,
     },
-    /// A long-running job's wanted number of tasks changed.
+    /// The requested number of tasks of a long-running job changed.
     JobResized {
-        /// The job.
+        /// A name that the placer does not have is ignored.
         job: JobName,
-        /// Tasks wanted now.
+        /// Number of tasks requested now.
         tasks: u32,
     },
-    /// A job was cancelled: nothing of it starts any more. Runs end by their own events.
+    /// A job was cancelled: none of its tasks starts again. The end of each run is reported by an
+    /// event of its own.
     JobCancelled(JobName),
-    /// A run ended and holds nothing any more.
+    /// A run ended and no longer holds its grant.
     RunEnded {
-        /// The run.
+        /// Ignored unless it is the task's latest attempt.
         run: TaskRun,
-        /// Where it ran.
+        /// Worker on which it ran.
         worker: WorkerId,
-        /// How it ended.
+        /// Decides, with the job's specification, whether the task may start again.
         end: RunEnd,
     },
-    /// A run's worker was lost for longer than its lease.
+    /// A run was lost: its worker has been silent for longer than its lease.
     RunLost {
-        /// The run.
+        /// Ignored unless it is the task's latest attempt.
         run: TaskRun,
-        /// Where it ran.
+        /// Worker on which it ran.
         worker: WorkerId,
         /// Whether the task may start again; false for a non-idempotent task that may have run.
         restart: bool,
     },
-    /// A decided start was not carried out; nothing is held for it.
+    /// A start that was decided was not carried out; its grant is free again.
     StartRefused {
-        /// The run.
+        /// Its attempt number is used again.
         run: TaskRun,
-        /// Where it would have run.
+        /// Worker on which it would have run.
         worker: WorkerId,
     },
-    /// Usage that a worker measured, with a lag.
+    /// Resource usage measured by a worker. It lags behind the grants made since.
     Usage {
-        /// The run.
+        /// Ignored unless it is the task's latest attempt.
         run: TaskRun,
-        /// What it used.
+        /// Accelerators are not measured and are ignored.
         used: Resources,
     },
 }
 
-/// A task as a new leader finds it.
+/// A task's state as restored by a new leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RestoredTask {
-    /// The task.
+    /// Its job is that of the event.
     pub task: TaskId,
-    /// Number of its latest start; 0 when it never started.
+    /// Number of its latest start; 0 if it has never started.
     pub attempt: Attempt,
-    /// Times it was preempted.
+    /// How often it was preempted; limited by the policy.
     pub preemptions: u32,
-    /// Its state.
+    /// Taken from the replicated state.
     pub state: TaskState,
 }
 
-/// State of one task.
+/// Whether a restored task waits, runs or has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// Waits for a start.
+    /// Not started, or may start again.
     Waiting,
-    /// Runs, or may run, on a worker.
+    /// Running, or possibly running, on a worker.
     Running {
-        /// The worker.
+        /// May be a worker that has not joined again yet.
         worker: WorkerId,
-        /// What was granted there.
+        /// Resources that count as used on the worker.
         granted: Resources,
-        /// When it was granted.
+        /// When the start was granted.
         since: Timestamp,
     },
     /// Will not start again.
     Ended,
 }
 
-/// What a placer decides.
+/// What a placer decides; the leader carries it out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
     /// Start a task.
     Start {
-        /// The run; its attempt is one more than the task's latest.
+        /// Its attempt is one more than the task's latest.
         run: TaskRun,
-        /// Where.
+        /// Worker on which it starts.
         worker: WorkerId,
-        /// What is granted.
+        /// At least the declared need.
         granted: Resources,
     },
-    /// End a run. Its capacity is free when its end is reported.
+    /// End or throttle a run. Its grant stays in use until its end is reported.
     Stop {
-        /// The run.
+        /// The task's latest attempt.
         run: TaskRun,
-        /// Where it runs.
+        /// Worker on which it runs.
         worker: WorkerId,
-        /// How it ends.
+        /// Checkpoint, throttle or stop.
         how: StopKind,
-        /// Why.
+        /// Reported to operators.
         reason: StopReason,
     },
-    /// A job can never run in this cell as it is.
+    /// A job does not fit on any worker of this cell, even an empty one.
     NeverRuns {
-        /// The job.
+        /// The scheduler checks it again when a worker joins.
         job: JobName,
-        /// Which resource fails and how many workers come nearest, in one sentence.
+        /// One sentence: the resource that is short, and the workers that come nearest.
         reason: String,
     },
-    /// A job is given up after its attempts, or by its rule.
+    /// A job has failed for good: its attempts are used up, or its gang's rule says so.
     GiveUp {
-        /// The job.
+        /// None of its tasks starts again.
         job: JobName,
-        /// In one sentence.
+        /// One sentence.
         reason: String,
     },
-    /// A worker on which different jobs failed gets no work but a trial.
+    /// A worker on which several jobs failed gets no tasks except trials.
     Quarantine(WorkerId),
-    /// A quarantined worker passed its trial.
+    /// A worker leaves quarantine.
     Release(WorkerId),
 }
 
-/// Why a run is stopped.
+/// Why a run is stopped or throttled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 pub enum StopReason {
-    /// A later band needs the room.
+    /// A task of a higher band needs the room.
     Preempted,
-    /// Its team used what another team's quota guarantees.
+    /// Its team borrowed capacity that is within another team's quota.
     Reclaimed,
-    /// Its worker is being emptied.
+    /// Its worker is being drained.
     Drained,
-    /// It uses more than it declared.
+    /// It uses more than it was granted.
     OverDeclared,
-    /// Another task of its gang was lost.
+    /// Another run of its gang ended, so that the gang has to restart as a whole or has failed.
     GangBroken,
-    /// The job was cancelled.
+    /// Its job was cancelled.
     Cancelled,
-    /// The job wants fewer tasks, or newer ones.
+    /// Its job has fewer tasks now, or a new specification.
     Resized,
 }
 
-/// A scheduler behind one interface, so that baselines run beside the real one.
+/// Common interface of the scheduler and the baselines it is compared with.
 pub trait Placer {
-    /// Takes in a change.
+    /// Applies a change of the cell's state.
     fn handle(&mut self, now: Timestamp, event: Event);
 
-    /// Appends decisions that hold at `now`, at most `limit` starts.
+    /// Appends the decisions valid at `now`, with at most `limit` starts.
     fn decide(&mut self, now: Timestamp, limit: usize, out: &mut Vec<Decision>);
 
-    /// Says why a job waits now, in one sentence with figures; none when it does not wait.
+    /// Explains in one sentence with figures why a job is waiting; `None` if it is not waiting.
     fn explain(&self, now: Timestamp, job: &JobName) -> Option<String>;
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,7 +1,7 @@
-//! Placement decisions: which task runs where, and what makes room for it.
+//! Placement: decides which task runs on which worker, and which runs are stopped to make room.
 //!
-//! A placer is a pure state machine. It is fed every change of the cell's state and asked for
-//! decisions; what it grants counts as used from that moment.
+//! A placer is a pure state machine. It receives every change of the cell's state as an event and
+//! is asked for decisions; what it grants counts as used from that moment.
 
 mod baseline;
 mod cell;
--- a/src/placement/never.rs
+++ b/src/placement/never.rs
@@ -1,4 +1,4 @@
-//! Jobs that can never run: which resource fails, and how many workers come nearest.
+//! Detects jobs that fit on no worker and explains which resource is short.
 
 use super::cell::Cell;
 use super::classes::Group;
@@ -6,19 +6,25 @@
 use crate::resources::Resources;
 use crate::workload::{JobSpec, WorkClass};
 
-/// Says in one sentence why a job can never run; none when it can, or while no worker is known.
+/// Explains in one sentence why a job fits on no worker; `None` if it does fit, or while no worker
+/// is known.
 pub(crate) fn reason(cell: &Cell, spec: &JobSpec) -> Option<String> {
-    let known: Vec<&Group> = cell.index.groups.iter().filter(|g| g.peak > 0).collect();
-    if known.is_empty() {
+    let all_groups: Vec<&Group> = cell
+        .index
+        .groups
+        .iter()
+        .filter(|g| g.peak_workers > 0)
+        .collect();
+    if all_groups.is_empty() {
         return None;
     }
-    if search::any_group(cell, spec, &spec.need).is_none() {
-        return Some(task_reason(&known, spec));
+    if search::find_empty_fit(cell, spec, &spec.need).is_none() {
+        return Some(task_reason(&all_groups, spec));
     }
     if spec.class != WorkClass::Gang {
         return None;
     }
-    let most = search::largest_gang(cell, spec, &spec.need);
+    let most = search::max_tasks_when_empty(cell, spec, &spec.need);
     (most < u64::from(spec.tasks)).then(|| {
         format!(
             "its {} tasks start all at once, but all suitable workers together hold {most} \
@@ -29,34 +35,38 @@
 }
 
 fn count(groups: &[&Group]) -> u32 {
-    groups.iter().map(|g| g.peak).sum()
+    groups.iter().map(|g| g.peak_workers).sum()
 }
 
-/// The requirements are looked at one after the other; the first that no worker meets besides
-/// the earlier ones is the reason.
-fn task_reason(known: &[&Group], spec: &JobSpec) -> String {
-    let mut near = known.to_vec();
+/// Applies the requirements one after the other; the reason is the first one that none of the
+/// workers left by the earlier ones meets.
+fn task_reason(all_groups: &[&Group], spec: &JobSpec) -> String {
+    let mut remaining = all_groups.to_vec();
     for check in Requirement::ALL {
-        let meets: Vec<&Group> = near
+        let meets: Vec<&Group> = remaining
             .iter()
             .copied()
             .filter(|g| check.met(spec, g))
             .collect();
         if meets.is_empty() {
-            let best = near.iter().map(|g| check.has(g)).max().unwrap_or(0);
-            let workers: u32 = near
+            let largest = remaining
                 .iter()
-                .filter(|g| check.has(g) == best)
-                .map(|g| g.peak)
+                .map(|g| check.amount_in(g))
+                .max()
+                .unwrap_or(0);
+            let workers: u32 = remaining
+                .iter()
+                .filter(|g| check.amount_in(g) == largest)
+                .map(|g| g.peak_workers)
                 .sum();
-            return check.sentence(spec, best, workers, count(known));
+            return check.sentence(spec, largest, workers, count(all_groups));
         }
-        near = meets;
+        remaining = meets;
     }
     "no worker meets all of its requirements at once".to_owned()
 }
 
-/// One requirement of a task.
+/// A requirement of a task, in the order of checking.
 #[derive(Clone, Copy)]
 enum Requirement {
     Zone,
@@ -83,13 +93,13 @@
                     || spec.accelerator.is_none()
                     || spec.accelerator == group.accelerator
             }
-            Self::Accelerators => self.has(group) >= spec.need.accelerators,
-            Self::Cores => self.has(group) >= spec.need.millicores,
-            Self::Memory => self.has(group) >= spec.need.memory_mb,
+            Self::Accelerators => self.amount_in(group) >= spec.need.accelerators,
+            Self::Cores => self.amount_in(group) >= spec.need.millicores,
+            Self::Memory => self.amount_in(group) >= spec.need.memory_mb,
         }
     }
 
-    fn has(self, group: &Group) -> u32 {
+    fn amount_in(self, group: &Group) -> u32 {
         match self {
             Self::Zone | Self::Accelerator => 0,
             Self::Accelerators => group.capacity.accelerators,
@@ -98,7 +108,7 @@
         }
     }
 
-    fn sentence(self, spec: &JobSpec, best: u32, workers: u32, all: u32) -> String {
+    fn sentence(self, spec: &JobSpec, largest: u32, workers: u32, all: u32) -> String {
         let Resources {
             millicores,
             memory_mb,
@@ -110,27 +120,27 @@
                 spec.zones.join(", ")
             ),
             Self::Accelerator => format!(
-                "none of {workers} workers that would do otherwise has accelerators of type {}",
+                "none of {workers} otherwise suitable workers has accelerators of type {}",
                 spec.accelerator.as_deref().unwrap_or("any")
             ),
             Self::Accelerators => format!(
                 "a task needs {accelerators} accelerators; {workers} workers come nearest \
-                 with {best}"
+                 with {largest}"
             ),
             Self::Cores => format!(
                 "a task needs {} cores; {workers} workers come nearest with {}",
                 cores(millicores),
-                cores(best)
+                cores(largest)
             ),
             Self::Memory => format!(
                 "a task needs {memory_mb} MB of memory; {workers} workers come nearest \
-                 with {best} MB"
+                 with {largest} MB"
             ),
         }
     }
 }
 
-/// Writes thousandths of a core as cores.
+/// Formats millicores as cores.
 pub(crate) fn cores(millicores: u32) -> String {
     format!("{:.1}", f64::from(millicores) / 1000.0)
 }
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -1,12 +1,12 @@
-//! Making room for a task of a later band, or for a team within its quota.
+//! Preemption: stopping runs for a task of a higher band or of a team within its quota.
 
 use std::cmp::Reverse;
 use std::time::Duration;
 
 use super::interface::{Decision, StopReason};
-use super::records::{Ending, JobIx, Place, RunRef, Worker, WorkerIx};
+use super::records::{Ending, JobIx, Phase, RunRef, Worker, WorkerIx};
 use super::scheduler::Scheduler;
-use super::search::Ask;
+use super::search::SearchRequest;
 use super::teams::TeamIx;
 use super::{rules, search};
 use crate::ids::Timestamp;
@@ -14,37 +14,38 @@
 use crate::wire::StopKind;
 use crate::workload::{Band, JobSpec, WorkClass};
 
-/// Time a preempted run has to save its state before it is stopped. Urgent work has to start
-/// within 4.8 s, so this leaves it half.
-const SAVE_TIME: Duration = Duration::from_secs(2);
-/// Tasks of one job for which room is made at once.
-const CLAIMS_AT_ONCE: u32 = 64;
-/// Time a team gets nothing before it takes back what others borrowed. Most of it comes back by
-/// itself when runs end, and what is stopped earlier is work lost for little.
-const RECLAIM_PATIENCE: Duration = Duration::from_secs(5);
-/// Use from which on a team counts as near its quota.
+/// Time a preempted run has to checkpoint before it is stopped. Urgent tasks must start within
+/// 4.8 s; this leaves more than half of that.
+const CHECKPOINT_TIME: Duration = Duration::from_secs(2);
+/// Upper bound on the tasks of one job for which runs are preempted in one call.
+const MAX_PLANS: u32 = 64;
+/// Time a team must get nothing before it reclaims what others borrowed. Most of it becomes free
+/// anyway as runs end, and stopping runs earlier loses their work for little gain.
+const RECLAIM_DELAY: Duration = Duration::from_secs(5);
+/// Usage, in percent of the quota, from which a team counts as near its quota.
 const NEAR_QUOTA_PERCENT: u64 = 95;
-/// The same for the last part of a quota: teams that use about their quotas would otherwise
-/// stop each other's tasks in turn.
-const LAST_PART_PATIENCE: Duration = Duration::from_secs(60);
-/// Blocked jobs for which room is tried to be made again at each sweep.
-const RETRIES: usize = 8;
-/// Workers whose runs are looked at one by one for one task.
-const WORKERS_WEIGHED: usize = 32;
+/// `RECLAIM_DELAY` for teams near their quota. With the short delay, teams that use about their
+/// quotas would keep stopping each other's tasks.
+const NEAR_QUOTA_RECLAIM_DELAY: Duration = Duration::from_secs(60);
+/// Blocked jobs for which preemption is retried at each sweep.
+const MAX_RETRIED_JOBS: usize = 8;
+/// Possible plans compared for one task.
+const MAX_PLANS_COMPARED: usize = 32;
 
-/// Runs to stop on one worker, and what that costs.
+/// Runs to stop on one worker for one task, and the cost of stopping them.
 struct Plan {
     worker: WorkerIx,
     victims: Vec<RunRef>,
-    /// Gangs broken, latest band stopped, runs that cannot save their state, and runs in all.
+    /// In order of weight: gang runs stopped, highest band stopped, runs without checkpoints,
+    /// number of runs.
     cost: (usize, Band, usize, usize),
 }
 
-/// Who asks for room.
-struct Claimant {
+/// The task for which runs are preempted.
+struct Preemptor {
     band: Band,
     team: TeamIx,
-    /// Whether the team stays within its quota and has waited, so that it may take back what
+    /// Whether the team stays within its quota and has been starved long enough to reclaim what
     /// others borrowed.
     may_reclaim: bool,
     need: Resources,
@@ -63,43 +64,44 @@
         let spec = job.spec.clone();
         let missing = self.missing(ix, need);
         let team = self.teams.ix(&spec.team);
-        let wanted = need.checked_mul(job.claims + 1).unwrap_or(*need);
-        let standing = self.teams.standing(team, &wanted, &self.cell.total);
-        let may_reclaim = !standing.borrowing && self.is_short(now, team);
-        let claimant = Claimant {
+        let next_use = need.checked_mul(job.preemption_holds + 1).unwrap_or(*need);
+        let rank = self.teams.rank(team, &next_use, &self.cell.total);
+        let may_reclaim = !rank.borrowing && self.is_starved(now, team);
+        let preemptor = Preemptor {
             band: spec.band,
             team,
             may_reclaim,
             need: *need,
         };
-        if claimant.band == Band::Spare && !claimant.may_reclaim {
+        if preemptor.band == Band::Spare && !preemptor.may_reclaim {
             return;
         }
         let mut plans: Vec<Plan> = Vec::new();
-        for _ in 0..missing.min(CLAIMS_AT_ONCE) {
-            let Some(plan) = self.cheapest_plan(&spec, &claimant, &plans) else {
+        for _ in 0..missing.min(MAX_PLANS) {
+            let Some(plan) = self.cheapest_plan(&spec, &preemptor, &plans) else {
                 break;
             };
             plans.push(plan);
         }
-        // Room for a part of a gang is of no use: what was stopped for it would be lost work.
+        // Room for only part of a gang is useless: the stopped runs' work would be lost for nothing.
         if spec.class == WorkClass::Gang && (plans.len() as u32) < missing {
             return;
         }
         for plan in plans {
-            self.carry_out(now, ix, &claimant, plan);
+            self.execute_plan(now, ix, &preemptor, plan);
         }
         out.append(&mut self.pending);
     }
 
-    /// Says whether a team within its quota has got nothing for long enough.
-    fn is_short(&mut self, now: Timestamp, team: TeamIx) -> bool {
+    /// Whether a team within its quota has got nothing for its reclaim delay. The first call
+    /// starts the measurement.
+    fn is_starved(&mut self, now: Timestamp, team: TeamIx) -> bool {
         let state = &mut self.teams.all[team as usize];
-        let since = *state.short_since.get_or_insert(now);
-        now.saturating_sub(since) >= self.reclaim_patience(team)
+        let since = *state.starved_since.get_or_insert(now);
+        now.saturating_sub(since) >= self.reclaim_delay(team)
     }
 
-    fn reclaim_patience(&self, team: TeamIx) -> Duration {
+    fn reclaim_delay(&self, team: TeamIx) -> Duration {
         let team = &self.teams.all[team as usize];
         let near = |used: u32, quota: u32| {
             u64::from(used) * 100 >= u64::from(quota) * NEAR_QUOTA_PERCENT && quota > 0
@@ -108,64 +110,64 @@
             || near(team.used.memory_mb, team.quota.memory_mb)
             || near(team.used.accelerators, team.quota.accelerators)
         {
-            LAST_PART_PATIENCE
+            NEAR_QUOTA_RECLAIM_DELAY
         } else {
-            RECLAIM_PATIENCE
+            RECLAIM_DELAY
         }
     }
 
-    /// Tasks of a job that neither fit now nor have room made for them already.
+    /// Number of the job's waiting tasks that neither fit now nor have a preemption under way.
     fn missing(&self, ix: JobIx, need: &Resources) -> u32 {
         let job = self.cell.job(ix);
-        let waiting = (job.waiting.len() as u32).saturating_sub(job.claims);
+        let waiting = (job.waiting.len() as u32).saturating_sub(job.preemption_holds);
         if job.spec.class != WorkClass::Gang {
             return waiting;
         }
-        let ask = Ask::new(&self.cell, ix, *need, Timestamp::MAX);
-        waiting.saturating_sub(search::room_for(&self.cell, &ask, &self.held))
+        let req = SearchRequest::new(&self.cell, ix, *need, Timestamp::MAX);
+        waiting.saturating_sub(search::count_fits(&self.cell, &req, &self.held))
     }
 
-    /// Tries again to make room for the blocked jobs of later bands and of teams within their
-    /// quota: what could not be stopped before may be stoppable now.
+    /// Retries preemption for blocked jobs, highest band first: runs that could not be stopped
+    /// before may be stoppable now.
     pub(crate) fn retry_making_room(&mut self, now: Timestamp, out: &mut Vec<Decision>) {
         let blocked = self.queues.blocked.iter();
         let mut heads: Vec<JobIx> = blocked
-            .filter(|q| !self.held_back.contains(q))
+            .filter(|q| !self.headroom_blocked.contains(q))
             .filter_map(|&q| self.queues.get(q).head())
-            .filter(|&ix| self.cell.job(ix).claims == 0)
+            .filter(|&ix| self.cell.job(ix).preemption_holds == 0)
             .collect();
         heads.sort_by_key(|&ix| {
             let job = self.cell.job(ix);
-            (Reverse(job.spec.band), job.order, job.seq)
+            (Reverse(job.spec.band), job.queue_time, job.seq)
         });
-        for ix in heads.into_iter().take(RETRIES) {
+        for ix in heads.into_iter().take(MAX_RETRIED_JOBS) {
             let need = self.grant_for(now, ix);
             self.make_room(now, ix, &need, out);
         }
     }
 
-    fn cheapest_plan(&self, spec: &JobSpec, claimant: &Claimant, made: &[Plan]) -> Option<Plan> {
+    fn cheapest_plan(&self, spec: &JobSpec, preemptor: &Preemptor, made: &[Plan]) -> Option<Plan> {
         let possible = self.cell.iter_workers().filter(|(ix, worker)| {
             worker.open()
                 && !made.iter().any(|plan| plan.worker == *ix)
                 && worker
                     .hold
-                    .is_none_or(|h| !h.claim && h.band < claimant.band)
-                && could_fit(worker, claimant)
+                    .is_none_or(|h| !h.by_preemption && h.band < preemptor.band)
+                && could_fit_after_preemption(worker, preemptor)
                 && worker.slot.group.is_some_and(|g| {
                     let group = &self.cell.index.groups[g as usize];
-                    search::group_suits(spec, &claimant.need, group)
+                    search::group_suits(spec, &preemptor.need, group)
                 })
         });
         possible
-            .filter_map(|(ix, worker)| self.plan_on(ix, worker, claimant))
-            .take(WORKERS_WEIGHED)
+            .filter_map(|(ix, worker)| self.plan_on(ix, worker, preemptor))
+            .take(MAX_PLANS_COMPARED)
             .min_by_key(|plan| plan.cost)
     }
 
-    fn plan_on(&self, ix: WorkerIx, worker: &Worker, claimant: &Claimant) -> Option<Plan> {
+    fn plan_on(&self, ix: WorkerIx, worker: &Worker, preemptor: &Preemptor) -> Option<Plan> {
         let mut runs: Vec<RunRef> = worker.runs.clone();
-        runs.retain(|&r| self.may_take(r, claimant));
+        runs.retain(|&r| self.may_preempt(r, preemptor));
         runs.sort_by_key(|&r| {
             let job = self.cell.job(r.job);
             let since = job.tasks[r.index as usize].run().map(|run| run.since);
@@ -176,7 +178,7 @@
         let mut victims = Vec::new();
         let mut cost = (0, Band::Spare, 0, 0);
         for r in runs {
-            if claimant.need.fits_in(&room) {
+            if preemptor.need.fits_in(&room) {
                 break;
             }
             let job = self.cell.job(r.job);
@@ -188,46 +190,47 @@
             cost.3 += 1;
             victims.push(r);
         }
-        // Where the task fits as it is, there is nothing to stop and nothing to claim.
-        let helps = !victims.is_empty() && claimant.need.fits_in(&room);
-        helps.then_some(Plan {
+        // A task that fits without preemption needs neither victims nor a hold.
+        let sufficient = !victims.is_empty() && preemptor.need.fits_in(&room);
+        sufficient.then_some(Plan {
             worker: ix,
             victims,
             cost,
         })
     }
 
-    /// Says whether a run may be stopped for the claimant.
-    fn may_take(&self, r: RunRef, claimant: &Claimant) -> bool {
+    /// Whether a run may be stopped for the preemptor.
+    fn may_preempt(&self, r: RunRef, preemptor: &Preemptor) -> bool {
         let job = self.cell.job(r.job);
         let task = &job.tasks[r.index as usize];
         let Some(run) = task.run() else {
             return false;
         };
-        let allowed = run.ending == Ending::No
+        let allowed = run.ending == Ending::NotRequested
             && rules::preemptible(&job.spec)
-            && (job.spec.class != WorkClass::Gang || claimant.band == Band::Urgent)
+            && (job.spec.class != WorkClass::Gang || preemptor.band == Band::Urgent)
             && task.preemptions < self.policy.preemption_limit;
-        let earlier = job.spec.band < claimant.band;
-        allowed && (earlier || self.may_reclaim(r, run.granted, claimant))
+        let lower_band = job.spec.band < preemptor.band;
+        allowed && (lower_band || self.may_reclaim(r, run.granted, preemptor))
     }
 
-    /// A team within its quota may take back what another team of the same band borrowed.
-    fn may_reclaim(&self, r: RunRef, granted: Resources, claimant: &Claimant) -> bool {
+    /// Whether the run uses resources that its team borrowed within the preemptor's band, so that
+    /// a team within its quota may take them back.
+    fn may_reclaim(&self, r: RunRef, granted: Resources, preemptor: &Preemptor) -> bool {
         let spec = &self.cell.job(r.job).spec;
-        if !claimant.may_reclaim || spec.band != claimant.band {
+        if !preemptor.may_reclaim || spec.band != preemptor.band {
             return false;
         }
         let Some(owner) = self.teams.find(&spec.team) else {
             return false;
         };
-        owner != claimant.team && self.teams.over_quota_by(owner, &granted)
+        owner != preemptor.team && self.teams.over_quota_by(owner, &granted)
     }
 
-    fn carry_out(&mut self, now: Timestamp, ix: JobIx, claimant: &Claimant, plan: Plan) {
+    fn execute_plan(&mut self, now: Timestamp, ix: JobIx, preemptor: &Preemptor, plan: Plan) {
         for r in plan.victims {
             let job = self.cell.job_mut(r.job);
-            let reason = if job.spec.band < claimant.band {
+            let reason = if job.spec.band < preemptor.band {
                 StopReason::Preempted
             } else {
                 StopReason::Reclaimed
@@ -235,33 +238,34 @@
             job.tasks[r.index as usize].preemptions += 1;
             self.stop_run(r, StopKind::Checkpoint, reason);
             let run = self.cell.task_run(r);
-            self.checkpoints.push_back((now + SAVE_TIME, run));
+            self.checkpoints.push_back((now + CHECKPOINT_TIME, run));
         }
-        self.claim(plan.worker, ix);
+        self.hold_preempted(plan.worker, ix);
     }
 
-    /// Asks a run to end, by saving its state where it can. A run that can do neither without
-    /// losing the task is left alone, except where it must end.
+    /// Asks a run to end, with a checkpoint if `how` asks for one and the job supports it. Callers
+    /// have to rule out runs that would lose their task. Does nothing if the run is already ending
+    /// in this way or is being stopped.
     pub(crate) fn stop_run(&mut self, r: RunRef, how: StopKind, reason: StopReason) {
         let job = self.cell.job(r.job);
-        let Place::Running(run) = job.tasks[r.index as usize].place else {
+        let Phase::Running(run) = job.tasks[r.index as usize].phase else {
             return;
         };
-        let saves = how == StopKind::Checkpoint && job.spec.checkpoint;
-        let ending = if saves {
-            Ending::Saving
+        let by_checkpoint = how == StopKind::Checkpoint && job.spec.checkpoint;
+        let ending = if by_checkpoint {
+            Ending::Checkpointing
         } else {
             Ending::Stopping
         };
-        let asked = run.ending == Ending::Stopping || run.ending == ending;
-        if asked {
+        let already_asked = run.ending == Ending::Stopping || run.ending == ending;
+        if already_asked {
             return;
         }
         self.cell.set_ending(r, ending);
         self.pending.push(Decision::Stop {
             run: self.cell.task_run(r),
             worker: self.cell.worker(run.worker).spec.id.clone(),
-            how: if saves {
+            how: if by_checkpoint {
                 StopKind::Checkpoint
             } else {
                 StopKind::Stop
@@ -270,15 +274,16 @@
         });
     }
 
-    /// Says whether a run was asked to end.
+    /// Whether a run was asked to end.
     pub(crate) fn is_ending(&self, r: RunRef) -> bool {
         let task = &self.cell.job(r.job).tasks[r.index as usize];
-        task.run().is_some_and(|run| run.ending != Ending::No)
+        task.run()
+            .is_some_and(|run| run.ending != Ending::NotRequested)
     }
 
-    /// Stops preempted runs that took too long to save their state and lose nothing by it but
-    /// work done.
-    pub(crate) fn stop_slow_savers(&mut self, now: Timestamp) {
+    /// Stops preempted runs that did not checkpoint in time. Only idempotent ones are stopped: they
+    /// lose no more than the work done so far.
+    pub(crate) fn stop_overdue_checkpoints(&mut self, now: Timestamp) {
         while let Some((at, run)) = self.checkpoints.front() {
             if *at > now {
                 return;
@@ -292,10 +297,10 @@
     }
 }
 
-/// A quick check over sums, before the runs are looked at one by one.
-fn could_fit(worker: &Worker, claimant: &Claimant) -> bool {
-    let bands = claimant.band as usize + usize::from(claimant.may_reclaim);
+/// Cheap pre-check over the worker's sums, before its runs are examined one by one.
+fn could_fit_after_preemption(worker: &Worker, preemptor: &Preemptor) -> bool {
+    let bands = preemptor.band as usize + usize::from(preemptor.may_reclaim);
     let sums = worker.preemptible[..bands].iter();
     let room = sums.fold(worker.room(), |room, sum| room.saturating_add(sum));
-    claimant.need.fits_in(&room)
+    preemptor.need.fits_in(&room)
 }
--- a/src/placement/queues.rs
+++ b/src/placement/queues.rs
@@ -1,24 +1,24 @@
-//! Waiting jobs, in queues of like work of one team.
+//! Queues of waiting jobs, one per team and equivalence class.
 //!
-//! Jobs that ask for the same make up one class of work. When nothing fits one of them, none
-//! of the class is tried again until a worker gets enough room.
+//! Jobs with the same placement requirements form an equivalence class. If one of them does not
+//! fit, the whole class is blocked until a worker gets enough room.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use super::records::{BANDS, JobIx};
-use super::teams::{Standing, TeamIx};
+use super::teams::{FairShareRank, TeamIx};
 use crate::ids::{AcceleratorName, KindName, Timestamp, ZoneName};
 use crate::resources::Resources;
 use crate::workload::{Band, JobSpec, Spread, WorkClass};
 
-/// Position of a queue.
+/// Index of a queue in [`Queues`].
 pub(crate) type QueueIx = u32;
-/// Position of a class of work.
-pub(crate) type WorkIx = u32;
+/// Index of an equivalence class in [`Queues`].
+pub(crate) type EquivIx = u32;
 
-/// What makes two tasks alike for placement.
+/// The properties on which placement depends; jobs with equal keys are interchangeable.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct WorkKey {
+pub(crate) struct EquivKey {
     pub(crate) band: Band,
     kind: KindName,
     need: Resources,
@@ -31,7 +31,7 @@
     run_time: Timestamp,
 }
 
-impl WorkKey {
+impl EquivKey {
     fn of(spec: &JobSpec) -> Self {
         Self {
             band: spec.band,
@@ -52,62 +52,62 @@
     }
 }
 
-/// A class of work.
+/// An equivalence class of jobs.
 #[derive(Debug)]
-pub(crate) struct Work {
-    key: WorkKey,
-    /// Nothing fitted at the last try, and no worker got enough room since.
+pub(crate) struct EquivClass {
+    key: EquivKey,
+    /// The last attempt found no room, and no worker has got enough room since.
     pub(crate) blocked: bool,
     queues: u32,
 }
 
-/// Place of a queue among those of its band; the first is served first.
+/// Sort key of a ready queue within its band; the smallest is served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReadyKey {
-    pub(crate) standing: Standing,
-    pub(crate) order: Timestamp,
+    pub(crate) rank: FairShareRank,
+    pub(crate) queue_time: Timestamp,
     pub(crate) seq: u64,
     pub(crate) queue: QueueIx,
 }
 
-/// Waiting jobs of one team and one class of work, by their order.
+/// Waiting jobs of one team and one equivalence class, ordered by queue time, then arrival.
 #[derive(Debug)]
 pub(crate) struct Queue {
     pub(crate) band: Band,
     pub(crate) team: TeamIx,
-    pub(crate) work: WorkIx,
+    pub(crate) equiv: EquivIx,
     jobs: BTreeMap<(Timestamp, u64), JobIx>,
     ready: Option<ReadyKey>,
 }
 
 impl Queue {
-    /// The job that is served next.
+    /// The job to be served next.
     pub(crate) fn head(&self) -> Option<JobIx> {
         self.jobs.first_key_value().map(|(_, &job)| job)
     }
 
-    /// Number of jobs.
+    /// Number of waiting jobs.
     pub(crate) fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Number of jobs before one of the queue.
-    pub(crate) fn ahead_of(&self, order: Timestamp, seq: u64) -> usize {
-        self.jobs.range(..(order, seq)).count()
+    /// Number of jobs served before the given position.
+    pub(crate) fn ahead_of(&self, queue_time: Timestamp, seq: u64) -> usize {
+        self.jobs.range(..(queue_time, seq)).count()
     }
 }
 
-/// All queues.
+/// The queues of all teams, and which of them are ready.
 #[derive(Debug, Default)]
 pub(crate) struct Queues {
     queues: Vec<Option<Queue>>,
-    spare: Vec<QueueIx>,
-    by_key: BTreeMap<(TeamIx, WorkIx), QueueIx>,
-    works: Vec<Option<Work>>,
-    spare_works: Vec<WorkIx>,
-    work_ix: HashMap<WorkKey, WorkIx>,
+    unused_ixs: Vec<QueueIx>,
+    by_key: BTreeMap<(TeamIx, EquivIx), QueueIx>,
+    equivs: Vec<Option<EquivClass>>,
+    unused_equivs: Vec<EquivIx>,
+    equiv_ix: HashMap<EquivKey, EquivIx>,
     ready: [BTreeSet<ReadyKey>; BANDS],
-    /// Queues with jobs that are not ready.
+    /// Queues that are not ready.
     pub(crate) blocked: BTreeSet<QueueIx>,
 }
 
@@ -120,15 +120,15 @@
         self.queues[ix as usize].as_mut().expect("live queue")
     }
 
-    pub(crate) fn work(&self, ix: WorkIx) -> &Work {
-        self.works[ix as usize].as_ref().expect("live class")
+    pub(crate) fn equiv(&self, ix: EquivIx) -> &EquivClass {
+        self.equivs[ix as usize].as_ref().expect("live class")
     }
 
-    pub(crate) fn work_mut(&mut self, ix: WorkIx) -> &mut Work {
-        self.works[ix as usize].as_mut().expect("live class")
+    pub(crate) fn equiv_mut(&mut self, ix: EquivIx) -> &mut EquivClass {
+        self.equivs[ix as usize].as_mut().expect("live class")
     }
 
-    /// All queues with jobs.
+    /// All queues; none of them is empty.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (QueueIx, &Queue)> {
         let all = self.queues.iter().enumerate();
         all.filter_map(|(i, q)| q.as_ref().map(|q| (i as QueueIx, q)))
@@ -136,67 +136,67 @@
 
     /// The ready queues of one team.
     pub(crate) fn ready_of(&self, team: TeamIx) -> Vec<QueueIx> {
-        let of_team = self.by_key.range((team, 0)..=(team, WorkIx::MAX));
+        let of_team = self.by_key.range((team, 0)..=(team, EquivIx::MAX));
         of_team
             .map(|(_, &ix)| ix)
             .filter(|&ix| self.get(ix).ready.is_some())
             .collect()
     }
 
-    /// Puts a job into the queue of its team and class of work.
+    /// Adds a job to the queue of its team and equivalence class.
     pub(crate) fn insert(
         &mut self,
         job: JobIx,
         spec: &JobSpec,
         team: TeamIx,
-        place: (Timestamp, u64),
+        position: (Timestamp, u64),
     ) -> QueueIx {
-        let work = self.work_of(spec);
-        let ix = match self.by_key.get(&(team, work)) {
+        let equiv = self.equiv_of(spec);
+        let ix = match self.by_key.get(&(team, equiv)) {
             Some(&ix) => ix,
-            None => self.add_queue(spec.band, team, work),
+            None => self.add_queue(spec.band, team, equiv),
         };
-        self.get_mut(ix).jobs.insert(place, job);
+        self.get_mut(ix).jobs.insert(position, job);
         if self.get(ix).ready.is_none() {
             self.blocked.insert(ix);
         }
         ix
     }
 
-    fn work_of(&mut self, spec: &JobSpec) -> WorkIx {
-        let key = WorkKey::of(spec);
-        if let Some(&ix) = self.work_ix.get(&key) {
+    fn equiv_of(&mut self, spec: &JobSpec) -> EquivIx {
+        let key = EquivKey::of(spec);
+        if let Some(&ix) = self.equiv_ix.get(&key) {
             return ix;
         }
-        let work = Work {
+        let equiv = EquivClass {
             key: key.clone(),
             blocked: false,
             queues: 0,
         };
-        let ix = match self.spare_works.pop() {
+        let ix = match self.unused_equivs.pop() {
             Some(ix) => {
-                self.works[ix as usize] = Some(work);
+                self.equivs[ix as usize] = Some(equiv);
                 ix
             }
             None => {
-                self.works.push(Some(work));
-                (self.works.len() - 1) as WorkIx
+                self.equivs.push(Some(equiv));
+                (self.equivs.len() - 1) as EquivIx
             }
         };
-        self.work_ix.insert(key, ix);
+        self.equiv_ix.insert(key, ix);
         ix
     }
 
-    fn add_queue(&mut self, band: Band, team: TeamIx, work: WorkIx) -> QueueIx {
-        self.work_mut(work).queues += 1;
+    fn add_queue(&mut self, band: Band, team: TeamIx, equiv: EquivIx) -> QueueIx {
+        self.equiv_mut(equiv).queues += 1;
         let queue = Queue {
             band,
             team,
-            work,
+            equiv,
             jobs: BTreeMap::new(),
             ready: None,
         };
-        let ix = match self.spare.pop() {
+        let ix = match self.unused_ixs.pop() {
             Some(ix) => {
                 self.queues[ix as usize] = Some(queue);
                 ix
@@ -206,46 +206,46 @@
                 (self.queues.len() - 1) as QueueIx
             }
         };
-        self.by_key.insert((team, work), ix);
+        self.by_key.insert((team, equiv), ix);
         ix
     }
 
-    /// Takes a job out; an empty queue goes with it.
-    pub(crate) fn remove(&mut self, ix: QueueIx, place: (Timestamp, u64)) {
+    /// Removes a job, and its queue and equivalence class if they become empty.
+    pub(crate) fn remove(&mut self, ix: QueueIx, position: (Timestamp, u64)) {
         let queue = self.get_mut(ix);
-        queue.jobs.remove(&place);
+        queue.jobs.remove(&position);
         if !queue.jobs.is_empty() {
             return;
         }
-        let (team, work) = (queue.team, queue.work);
+        let (team, equiv) = (queue.team, queue.equiv);
         self.unready(ix);
         self.blocked.remove(&ix);
-        self.by_key.remove(&(team, work));
+        self.by_key.remove(&(team, equiv));
         self.queues[ix as usize] = None;
-        self.spare.push(ix);
-        let class = self.work_mut(work);
+        self.unused_ixs.push(ix);
+        let class = self.equiv_mut(equiv);
         class.queues -= 1;
         if class.queues == 0 {
-            let key = self.works[work as usize].take().expect("live class").key;
-            self.work_ix.remove(&key);
-            self.spare_works.push(work);
+            let key = self.equivs[equiv as usize].take().expect("live class").key;
+            self.equiv_ix.remove(&key);
+            self.unused_equivs.push(equiv);
         }
     }
 
-    /// Says whether the place still names a queue.
+    /// Whether the index still refers to a queue.
     pub(crate) fn exists(&self, ix: QueueIx) -> bool {
         self.queues.get(ix as usize).is_some_and(Option::is_some)
     }
 
-    /// Makes a queue ready at its present place.
-    pub(crate) fn make_ready(&mut self, ix: QueueIx, standing: Standing) {
+    /// Makes a queue ready at the given rank.
+    pub(crate) fn make_ready(&mut self, ix: QueueIx, rank: FairShareRank) {
         let queue = self.get(ix);
-        let Some((&(order, seq), _)) = queue.jobs.first_key_value() else {
+        let Some((&(queue_time, seq), _)) = queue.jobs.first_key_value() else {
             return;
         };
         let key = ReadyKey {
-            standing,
-            order,
+            rank,
+            queue_time,
             seq,
             queue: ix,
         };
@@ -267,13 +267,13 @@
         }
     }
 
-    /// Takes a queue off the ready ones until it is woken.
+    /// Takes a queue out of the ready set until it is woken.
     pub(crate) fn block(&mut self, ix: QueueIx) {
         self.unready(ix);
         self.blocked.insert(ix);
     }
 
-    /// The queue of a band that is served next, with the place it had when it became ready.
+    /// The band's first ready queue, with the key it had when it became ready.
     pub(crate) fn next(&self, band: Band) -> Option<ReadyKey> {
         self.ready[band as usize].first().copied()
     }
--- a/src/placement/records.rs
+++ b/src/placement/records.rs
@@ -1,4 +1,4 @@
-//! The records of workers, jobs and runs that every placer keeps.
+//! Records of workers, jobs and runs kept by every placer.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 use crate::resources::Resources;
 use crate::workload::{Band, JobSpec, Spread, WorkerSpec};
 
-/// Position of a worker in the cell's table.
+/// Index of a worker in the cell's table; used again after the worker is removed.
 pub(crate) type WorkerIx = u32;
-/// Position of a job in the cell's table.
+/// Index of a job in the cell's table; used again after the job is removed.
 pub(crate) type JobIx = u32;
-/// Number of bands.
+/// Number of priority bands.
 pub(crate) const BANDS: usize = 4;
 
-/// A task that runs on a worker.
+/// Reference to a task that has a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RunRef {
     pub(crate) job: JobIx,
@@ -28,22 +28,22 @@
 pub(crate) struct Hold {
     /// The job that may start there.
     pub(crate) job: JobIx,
-    /// Its band; a later band may still take the room.
+    /// The job's band; tasks of a higher band may still take the room.
     pub(crate) band: Band,
-    /// Other work may start there when it is expected to end by this time.
+    /// Other tasks may start there if they are expected to end by this time.
     pub(crate) until: Timestamp,
-    /// Whether runs were stopped to make this room.
-    pub(crate) claim: bool,
+    /// Whether runs were preempted to make this room.
+    pub(crate) by_preemption: bool,
 }
 
-/// Why a worker gets no ordinary work after failures.
+/// State of a worker that gets no tasks except trials because tasks of several jobs failed there.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Quarantine {
-    /// When it may try one task.
+    /// When the next trial may start.
     pub(crate) trial_at: Timestamp,
-    /// Trials that failed.
+    /// Number of failed trials; each doubles the time until the next one.
     pub(crate) failed_trials: u32,
-    /// The task it tries now.
+    /// The trial that is running.
     pub(crate) trial: Option<RunRef>,
 }
 
@@ -51,46 +51,46 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FailedTask {
     pub(crate) run: RunRef,
-    /// The job's order of arrival, which is never used again.
+    /// The job's arrival number. Unlike `run.job`, it is never used again.
     pub(crate) seq: u64,
 }
 
-/// A worker and what is granted on it.
+/// A worker and the grants on it.
 #[derive(Debug)]
 pub(crate) struct Worker {
     pub(crate) spec: WorkerSpec,
     pub(crate) up: bool,
-    /// Capacity less everything granted.
+    /// Capacity minus all grants.
     pub(crate) free: Resources,
-    /// What runs use above their grants, by the latest reports.
+    /// Usage of the runs above their grants, by their latest reports.
     pub(crate) overuse: Resources,
     pub(crate) runs: Vec<RunRef>,
-    /// Grants of runs that may be preempted, by band.
+    /// Sum of the grants of preemptible runs, by band.
     pub(crate) preemptible: [Resources; BANDS],
     pub(crate) drain: Option<Timestamp>,
     pub(crate) quarantine: Option<Quarantine>,
     pub(crate) hold: Option<Hold>,
-    /// Tasks of distinct jobs that failed here since the last success.
-    pub(crate) failed_here: Vec<FailedTask>,
+    /// Failed tasks since the last success, at most one per job.
+    pub(crate) recent_failures: Vec<FailedTask>,
     pub(crate) zone: u32,
     pub(crate) rack: u32,
     pub(crate) slot: Slot,
-    /// Quick tasks that would fit into its room.
+    /// Number of quick tasks that fit into its room.
     pub(crate) quick_slots: u32,
 }
 
 impl Worker {
-    /// Room for a new task: never more than what is not granted.
+    /// Resources available for a new task: not granted, and not used by runs above their grants.
     pub(crate) fn room(&self) -> Resources {
         self.free.saturating_sub(&self.overuse)
     }
 
-    /// Says whether ordinary work may start here.
+    /// Whether the worker takes tasks: it is up, not draining and not in quarantine.
     pub(crate) const fn open(&self) -> bool {
         self.up && self.drain.is_none() && self.quarantine.is_none()
     }
 
-    /// The failure domain of a spread rule.
+    /// Identifies the worker's failure domain under a spread rule.
     pub(crate) const fn domain(&self, ix: WorkerIx, spread: Spread) -> u32 {
         match spread {
             Spread::None | Spread::Worker => ix,
@@ -100,8 +100,8 @@
     }
 }
 
-/// Takes the larger of each unit.
-pub(crate) fn larger(a: &Resources, b: &Resources) -> Resources {
+/// The larger amount of each resource.
+pub(crate) fn max_of_each(a: &Resources, b: &Resources) -> Resources {
     Resources {
         millicores: a.millicores.max(b.millicores),
         memory_mb: a.memory_mb.max(b.memory_mb),
@@ -109,14 +109,14 @@
     }
 }
 
-/// Whether a run was asked to end.
+/// Whether and how a run was asked to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Ending {
-    /// It goes on.
-    No,
-    /// It saves its state first.
-    Saving,
-    /// It stops now.
+    /// It was not asked to end.
+    NotRequested,
+    /// It was asked to checkpoint and then end.
+    Checkpointing,
+    /// It was asked to stop without a checkpoint.
     Stopping,
 }
 
@@ -126,45 +126,45 @@
     pub(crate) worker: WorkerIx,
     pub(crate) granted: Resources,
     pub(crate) since: Timestamp,
-    /// What it uses above its grant.
-    pub(crate) over: Resources,
+    /// Its latest reported usage above its grant.
+    pub(crate) excess: Resources,
     pub(crate) ending: Ending,
     pub(crate) throttled: bool,
-    /// Version of the job's specification it was started with.
+    /// Version of the job's specification with which it was started.
     pub(crate) version: u32,
 }
 
-/// Where a task is.
+/// Phase of a task between its starts.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Place {
+pub(crate) enum Phase {
     Waiting,
-    /// Waits until its backoff is over.
+    /// Not startable until its backoff ends.
     Backoff,
     Running(Run),
     Ended,
 }
 
-/// A task of a job.
+/// A task of a job. `failures` counts failed runs since the last success.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Task {
     pub(crate) attempt: Attempt,
     pub(crate) failures: u32,
     pub(crate) preemptions: u32,
-    pub(crate) place: Place,
+    pub(crate) phase: Phase,
 }
 
 impl Task {
-    pub(crate) const FRESH: Self = Self {
+    pub(crate) const NEW: Self = Self {
         attempt: 0,
         failures: 0,
         preemptions: 0,
-        place: Place::Waiting,
+        phase: Phase::Waiting,
     };
 
     /// The run in progress, if any.
     pub(crate) const fn run(&self) -> Option<&Run> {
-        match &self.place {
-            Place::Running(run) => Some(run),
+        match &self.phase {
+            Phase::Running(run) => Some(run),
             _ => None,
         }
     }
@@ -174,46 +174,46 @@
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) spec: Arc<JobSpec>,
-    pub(crate) at: Timestamp,
-    /// Order of arrival among all jobs.
+    pub(crate) accepted_at: Timestamp,
+    /// Arrival number; never used again for another job.
     pub(crate) seq: u64,
     pub(crate) version: u32,
     pub(crate) tasks: Vec<Task>,
-    /// Indices of waiting tasks; the next one to start is last.
+    /// Indices of the waiting tasks; the last one starts next.
     pub(crate) waiting: Vec<TaskIndex>,
     pub(crate) backing_off: u32,
     pub(crate) running: u32,
-    /// Nothing of it starts any more.
+    /// Cancelled or failed for good: none of its tasks starts again.
     pub(crate) closed: bool,
-    /// Why it can never run, once that was said.
-    pub(crate) never: Option<String>,
-    /// Workers on which it failed.
+    /// Why the job does not fit on any worker, once that has been reported.
+    pub(crate) never_runs: Option<String>,
+    /// Workers on which the job failed.
     pub(crate) failed_on: Vec<WorkerIx>,
-    /// Tasks for which room is being made by preemption.
-    pub(crate) claims: u32,
-    /// Workers whose room is held for it.
+    /// Number of tasks for which runs are being preempted.
+    pub(crate) preemption_holds: u32,
+    /// Number of workers held for the job.
     pub(crate) holds: u32,
-    /// Queue it waits in.
+    /// Index of the queue in which it waits.
     pub(crate) queue: Option<u32>,
-    /// Place in the queue.
-    pub(crate) order: Timestamp,
-    /// Running tasks by failure domain.
+    /// Sort key within its queue: the arrival time plus a delay that grows with the run time.
+    pub(crate) queue_time: Timestamp,
+    /// Number of running tasks by failure domain; kept only for jobs with a spread rule.
     pub(crate) domains: HashMap<u32, u32>,
 }
 
 impl Job {
-    /// Says whether nothing of it is left to start or to wait for.
-    pub(crate) fn over(&self) -> bool {
+    /// Whether no task is running or can start any more.
+    pub(crate) fn is_finished(&self) -> bool {
         self.running == 0 && (self.closed || (self.waiting.is_empty() && self.backing_off == 0))
     }
 
-    /// Tasks that are not running, or were asked to end.
-    pub(crate) fn away(&self) -> u32 {
-        let there = |t: &&Task| t.run().is_some_and(|r| r.ending == Ending::No);
-        self.spec.tasks - (self.tasks.iter().filter(there).count() as u32).min(self.spec.tasks)
+    /// Number of tasks that are not running or were asked to end.
+    pub(crate) fn unavailable(&self) -> u32 {
+        let stays = |t: &&Task| t.run().is_some_and(|r| r.ending == Ending::NotRequested);
+        self.spec.tasks - (self.tasks.iter().filter(stays).count() as u32).min(self.spec.tasks)
     }
 
-    /// Says whether its tasks are kept running rather than run once.
+    /// Whether its tasks are kept running rather than run once.
     pub(crate) fn long_running(&self) -> bool {
         rules::long_running(&self.spec)
     }
--- a/src/placement/reservations.rs
+++ b/src/placement/reservations.rs
@@ -1,8 +1,8 @@
-//! Room held for one job: by reservation for a gang or a large task that waits long, and for a
-//! task whose room is being made by preemption.
+//! Holds: workers whose room is kept for one job, either by a reservation for a gang or a large
+//! task that has waited long, or while runs are being preempted for a task.
 //!
 //! At most one job has a reservation. Two gangs that each hold half of what the other needs
-//! would wait for ever; with one reservation the first one starts, then the other gets its turn.
+//! would wait forever; with one reservation the first one starts, then the other.
 
 use std::time::Duration;
 
@@ -14,22 +14,22 @@
 use crate::resources::Resources;
 use crate::workload::{Band, WorkClass};
 
-/// Time a gang waits before room is held for it.
-const GANG_PATIENCE: Duration = Duration::from_secs(1);
-/// Time a single task waits before room is held for it.
-const TASK_PATIENCE: Duration = Duration::from_secs(10);
-/// Time past its expected start after which a reservation is planned anew.
-const OVERDUE: Duration = Duration::from_secs(30);
-/// A run that is late is expected to take this part of its time so far again.
-const LATE_PART: u32 = 4;
+/// Waiting time after which a gang may get a reservation.
+const GANG_RESERVATION_DELAY: Duration = Duration::from_secs(1);
+/// Waiting time after which a single task may get a reservation.
+const TASK_RESERVATION_DELAY: Duration = Duration::from_secs(10);
+/// Time past the expected start after which a reservation is dropped and planned again.
+const RESERVATION_GRACE: Duration = Duration::from_secs(30);
+/// A run past its expected end is expected to go on for its run time so far divided by this.
+const LATE_RUN_DIVISOR: u32 = 4;
 
-/// Room held for the job that has waited longest.
+/// The reservation of the job that has waited longest.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reservation {
     pub(crate) job: JobIx,
     pub(crate) seq: u64,
     pub(crate) band: Band,
-    /// When the job is expected to start.
+    /// Expected start of the job.
     pub(crate) starts: Timestamp,
 }
 
@@ -42,20 +42,20 @@
         self.held.push(ix);
     }
 
-    /// Holds a worker on which runs were stopped for a task of the job.
-    pub(crate) fn claim(&mut self, ix: WorkerIx, job: JobIx) {
+    /// Holds a worker for a task of the job while the runs preempted for it end.
+    pub(crate) fn hold_preempted(&mut self, ix: WorkerIx, job: JobIx) {
         let band = self.cell.job(job).spec.band;
-        self.cell.job_mut(job).claims += 1;
+        self.cell.job_mut(job).preemption_holds += 1;
         let hold = Hold {
             job,
             band,
             until: Timestamp::ZERO,
-            claim: true,
+            by_preemption: true,
         };
         self.hold(ix, hold);
     }
 
-    /// Lets a worker's room be used by all again.
+    /// Releases the hold on a worker and wakes the queues whose tasks fit there.
     pub(crate) fn drop_hold(&mut self, ix: WorkerIx) {
         let Some(worker) = self.cell.workers[ix as usize].as_mut() else {
             return;
@@ -66,14 +66,16 @@
         self.held.retain(|&other| other != ix);
         if let Some(job) = self.cell.jobs[hold.job as usize].as_mut() {
             job.holds = job.holds.saturating_sub(1);
-            job.claims = job.claims.saturating_sub(u32::from(hold.claim));
+            job.preemption_holds = job
+                .preemption_holds
+                .saturating_sub(u32::from(hold.by_preemption));
         }
         self.cell.reindex(ix);
-        self.wake_for(ix);
+        self.wake_fitting(ix);
     }
 
-    /// Lets go of everything held for a job.
-    pub(crate) fn drop_holds_of(&mut self, job: JobIx) {
+    /// Releases the job's reservation and all its holds.
+    pub(crate) fn drop_job_holds(&mut self, job: JobIx) {
         if self.reservation.is_some_and(|r| r.job == job) {
             self.reservation = None;
         }
@@ -87,47 +89,49 @@
         }
     }
 
-    /// Notes that a task of the job started on a worker, perhaps one held for it.
-    pub(crate) fn use_hold(&mut self, job: JobIx, ix: WorkerIx) {
+    /// Updates the job's holds after one of its tasks started on a worker: all are released if no
+    /// task is left waiting, else only the one on this worker.
+    pub(crate) fn consume_hold(&mut self, job: JobIx, ix: WorkerIx) {
         if self.cell.job(job).waiting.is_empty() {
-            self.drop_holds_of(job);
+            self.drop_job_holds(job);
         } else if self.cell.worker(ix).hold.is_some_and(|h| h.job == job) {
             self.drop_hold(ix);
         }
     }
 
-    /// Drops what is held for nothing, and plans for the job that has waited longest.
-    pub(crate) fn review_holds(&mut self, now: Timestamp) {
-        self.drop_idle_claims();
+    /// Releases obsolete holds and reserves workers for the job that has waited longest.
+    pub(crate) fn update_holds(&mut self, now: Timestamp) {
+        self.drop_idle_preemption_holds();
         self.drop_stale_reservation(now);
-        let Some((job, waits_for)) = self.most_patient(now) else {
+        let Some((job, job_band)) = self.longest_waiting(now) else {
             return;
         };
-        let later = match self.reservation {
+        let replaces = match self.reservation {
             None => true,
-            Some(r) => r.job != job && waits_for > r.band,
+            Some(r) => r.job != job && job_band > r.band,
         };
-        if later {
+        if replaces {
             if let Some(old) = self.reservation {
-                self.drop_holds_of(old.job);
+                self.drop_job_holds(old.job);
             }
             self.plan(now, job);
         }
     }
 
-    /// A claim is idle when nothing on its worker is being stopped any more and the job, which
-    /// was tried when the last run ended, still did not start.
-    fn drop_idle_claims(&mut self) {
+    /// Releases holds for preemption on workers where no run is ending any more. The job was tried
+    /// when the last run ended and did not start.
+    fn drop_idle_preemption_holds(&mut self) {
         for ix in self.held.clone() {
             let worker = self.cell.worker(ix);
-            let idle = worker.hold.is_some_and(|h| h.claim) && !self.is_emptying(worker);
+            let idle =
+                worker.hold.is_some_and(|h| h.by_preemption) && !self.has_ending_runs(worker);
             if idle {
                 self.drop_hold(ix);
             }
         }
     }
 
-    fn is_emptying(&self, worker: &Worker) -> bool {
+    fn has_ending_runs(&self, worker: &Worker) -> bool {
         worker.runs.iter().any(|&r| self.is_ending(r))
     }
 
@@ -135,50 +139,53 @@
         let Some(r) = self.reservation else {
             return;
         };
-        let known = self.cell.jobs[r.job as usize].as_ref();
-        let known = known.filter(|j| j.seq == r.seq && !j.waiting.is_empty());
-        let Some(job) = known else {
+        let found = self.cell.jobs[r.job as usize].as_ref();
+        let found = found.filter(|j| j.seq == r.seq && !j.waiting.is_empty());
+        let Some(job) = found else {
             self.reservation = None;
             return;
         };
         let head = job
             .queue
             .is_some_and(|q| self.queues.get(q).head() == Some(r.job));
-        if !head || job.holds == 0 || now > r.starts.saturating_add(OVERDUE) {
-            self.drop_holds_of(r.job);
+        if !head || job.holds == 0 || now > r.starts.saturating_add(RESERVATION_GRACE) {
+            self.drop_job_holds(r.job);
         }
     }
 
-    /// The blocked head of a queue that has waited longest in the latest band.
-    fn most_patient(&self, now: Timestamp) -> Option<(JobIx, Band)> {
-        // A single task that is only kept from the room for quick work gets its turn when
-        // there is more room; a reservation would take that room after all. A gang may need so
-        // much room at once that its turn would never come.
+    /// The job at the head of a blocked queue that may get a reservation: of the highest band, and
+    /// within it the first in queue order.
+    fn longest_waiting(&self, now: Timestamp) -> Option<(JobIx, Band)> {
+        // A single task blocked only by the headroom for quick tasks starts once there is more
+        // room; a reservation would use up that headroom. A gang may need so much room at once
+        // that it would never start without one.
         let heads = self.queues.blocked.iter();
         let waiting = heads.filter_map(|&q: &QueueIx| {
             let head = self.queues.get(q).head()?;
             let gang = self.cell.job(head).spec.class == WorkClass::Gang;
-            (gang || !self.held_back.contains(&q)).then_some(head)
+            (gang || !self.headroom_blocked.contains(&q)).then_some(head)
         });
         waiting
             .filter(|&ix| {
                 let job = self.cell.job(ix);
-                let patience = match job.spec.class {
-                    WorkClass::Gang => GANG_PATIENCE,
-                    _ => TASK_PATIENCE,
+                let delay = match job.spec.class {
+                    WorkClass::Gang => GANG_RESERVATION_DELAY,
+                    _ => TASK_RESERVATION_DELAY,
                 };
-                let whole = job.spec.class != WorkClass::Gang || job.backing_off == 0;
-                whole && job.claims == 0 && now.saturating_sub(job.at) >= patience
+                let gang_complete = job.spec.class != WorkClass::Gang || job.backing_off == 0;
+                gang_complete
+                    && job.preemption_holds == 0
+                    && now.saturating_sub(job.accepted_at) >= delay
             })
             .map(|ix| (ix, self.cell.job(ix)))
             .max_by_key(|(_, job)| {
-                let oldest = std::cmp::Reverse((job.order, job.seq));
+                let oldest = std::cmp::Reverse((job.queue_time, job.seq));
                 (job.spec.band, oldest)
             })
             .map(|(ix, job)| (ix, job.spec.band))
     }
 
-    /// Holds the workers on which the job is expected to fit first.
+    /// Reserves the workers on which the job is expected to fit first.
     fn plan(&mut self, now: Timestamp, ix: JobIx) {
         let job = self.cell.job(ix);
         let spec = job.spec.clone();
@@ -188,7 +195,7 @@
         };
         let (seq, band) = (job.seq, spec.band);
         let need = self.grant_for(now, ix);
-        let mut places = Vec::new();
+        let mut times = Vec::new();
         for (w, worker) in self.cell.iter_workers() {
             let group = worker
                 .slot
@@ -196,14 +203,14 @@
                 .map(|g| &self.cell.index.groups[g as usize]);
             let suits = group.is_some_and(|g| search::group_suits(&spec, &need, g));
             if suits && worker.open() && worker.hold.is_none() {
-                self.places_on(now, w, worker, &need, &mut places);
+                self.fit_times(now, w, worker, &need, &mut times);
             }
         }
-        places.sort_unstable();
-        let Some(&(starts, _)) = places.get(n.saturating_sub(1)) else {
+        times.sort_unstable();
+        let Some(&(starts, _)) = times.get(n.saturating_sub(1)) else {
             return;
         };
-        let mut workers: Vec<WorkerIx> = places[..n].iter().map(|&(_, w)| w).collect();
+        let mut workers: Vec<WorkerIx> = times[..n].iter().map(|&(_, w)| w).collect();
         workers.sort_unstable();
         workers.dedup();
         self.reservation = Some(Reservation {
@@ -217,7 +224,7 @@
                 job: ix,
                 band,
                 until: starts,
-                claim: false,
+                by_preemption: false,
             };
             self.hold(w, hold);
         }
@@ -226,34 +233,34 @@
         }
     }
 
-    /// Adds the times at which one more task of the need fits on a worker.
-    fn places_on(
+    /// Adds, for each task of this size that will fit on the worker, the time from which it fits.
+    fn fit_times(
         &self,
         now: Timestamp,
         ix: WorkerIx,
         worker: &Worker,
         need: &Resources,
-        places: &mut Vec<(Timestamp, WorkerIx)>,
+        times: &mut Vec<(Timestamp, WorkerIx)>,
     ) {
         let mut ends: Vec<(Timestamp, Resources)> = worker
             .runs
             .iter()
-            .filter_map(|&r| self.ends_with(now, r))
+            .filter_map(|&r| self.expected_end(now, r))
             .collect();
         ends.sort_unstable_by_key(|&(at, _)| at);
         let mut room = worker.room();
         let mut fitted = need.times_in(&room);
-        places.extend((0..fitted).map(|_| (now, ix)));
+        times.extend((0..fitted).map(|_| (now, ix)));
         for (at, granted) in ends {
             room = room.saturating_add(&granted);
             let fits = need.times_in(&room);
-            places.extend((fitted..fits).map(|_| (at, ix)));
+            times.extend((fitted..fits).map(|_| (at, ix)));
             fitted = fitted.max(fits);
         }
     }
 
-    /// When a run is expected to end, and what it gives back; none for long-running ones.
-    fn ends_with(&self, now: Timestamp, r: RunRef) -> Option<(Timestamp, Resources)> {
+    /// When a run is expected to end, and what it frees; `None` for long-running ones.
+    fn expected_end(&self, now: Timestamp, r: RunRef) -> Option<(Timestamp, Resources)> {
         let job = self.cell.job(r.job);
         let run = job.tasks[r.index as usize].run()?;
         if job.long_running() {
@@ -265,11 +272,11 @@
     }
 }
 
-/// When a run that began at `since` and was expected to end at `end` is expected to end now: one
-/// that took longer than that goes on for a part of what it took.
+/// The expected end at time `now` of a run that began at `since` and was expected to end at
+/// `end`. A run past `end` is expected to go on for a fraction of its time so far.
 pub(crate) fn end_from_now(now: Timestamp, since: Timestamp, end: Timestamp) -> Timestamp {
     if end > now {
         return end;
     }
-    now + now.saturating_sub(since) / LATE_PART
+    now + now.saturating_sub(since) / LATE_RUN_DIVISOR
 }
--- a/src/placement/rules.rs
+++ b/src/placement/rules.rs
@@ -1,15 +1,15 @@
-//! Rules on starting again and preempting that placement and the cell's state share.
+//! Rules on restart and preemption, shared by placement and the cell's state.
 
 use crate::workload::{JobSpec, RunEnd, WorkClass};
 
-/// Says whether the tasks are kept running rather than run once.
+/// Whether tasks are kept running rather than run once.
 pub fn long_running(spec: &JobSpec) -> bool {
     matches!(spec.class, WorkClass::Service | WorkClass::Watcher)
 }
 
-/// Says whether a task may start again after its run ended so.
+/// Whether a task may start again after its run ended in the given way.
 ///
-/// A non-idempotent task that has run is never started again, unless it saved its state.
+/// A non-idempotent task that has run starts again only from a checkpoint.
 pub fn may_start_again(spec: &JobSpec, end: RunEnd) -> bool {
     match end {
         RunEnd::NeverStarted | RunEnd::Checkpointed => true,
@@ -18,7 +18,7 @@
     }
 }
 
-/// Says whether a run of the job can be stopped early without losing the task.
+/// Whether a run of the job can be stopped early without losing the task.
 pub fn preemptible(spec: &JobSpec) -> bool {
     spec.idempotent || spec.checkpoint
 }
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler: its state and the loop that decides starts.
+//! The scheduler's state and the loop that starts tasks.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -13,22 +13,23 @@
 use super::queues::{QueueIx, Queues, ReadyKey};
 use super::records::{JobIx, RunRef, WorkerIx};
 use super::reservations::Reservation;
-use super::search::{self, Ask};
-use super::teams::{Standing, Teams};
+use super::search::{self, SearchRequest};
+use super::teams::{FairShareRank, Teams};
 use crate::document::Policy;
 use crate::ids::{JobName, Timestamp, WorkerId};
 use crate::resources::Resources;
 use crate::workload::{Band, MemberLoss, TaskRun, WorkClass};
 
-/// Bands in the order in which they are served.
+/// Bands from the highest priority to the lowest.
 pub(crate) const BY_PRIORITY: [Band; 4] = [Band::Urgent, Band::High, Band::Normal, Band::Spare];
-/// How often what depends on time alone is looked at.
+/// Interval between checks that depend on time alone, such as drain deadlines.
 const SWEEP: Duration = Duration::from_millis(500);
 
-/// Time after which a job is granted what it declared, if more was learnt and never free.
-const LEARNT_PATIENCE: Duration = Duration::from_secs(120);
+/// Waiting time after which a job is granted its declared need, so that a larger learnt size
+/// that never becomes free cannot block it forever.
+const LEARNT_SIZE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Places work by bands, quotas and classes of workers and of work.
+/// Places tasks by priority band, team quota and worker class.
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) cell: Cell,
@@ -37,43 +38,43 @@
     pub(crate) estimates: Estimates,
     pub(crate) policy: Policy,
     pub(crate) rng: ChaCha8Rng,
-    /// Decisions that follow from events, given out by the next `decide`.
+    /// Decisions caused by events, emitted by the next `decide`.
     pub(crate) pending: Vec<Decision>,
-    /// Tasks whose backoff ends at a time.
+    /// Tasks in backoff: end of the backoff, job, the job's `seq`, task index.
     pub(crate) backoff: BinaryHeap<Reverse<(Timestamp, JobIx, u64, u32)>>,
-    /// Cancelled jobs whose runs are still to be stopped.
+    /// Cancelled jobs (with their `seq`) whose runs still have to be stopped.
     pub(crate) cancelled: VecDeque<(JobIx, u64)>,
-    /// Workers whose room is held for one job.
+    /// Workers with a hold; each is held for one job.
     pub(crate) held: Vec<WorkerIx>,
     pub(crate) reservation: Option<Reservation>,
     pub(crate) drains: BTreeMap<WorkerId, Timestamp>,
-    /// Runs asked to save their state, and when to stop them instead.
+    /// Runs asked to checkpoint, with the time at which they are stopped instead.
     pub(crate) checkpoints: VecDeque<(Timestamp, TaskRun)>,
     pub(crate) quarantined: Vec<WorkerIx>,
-    /// Queues kept from the room that is held back for quick work.
-    pub(crate) held_back: Vec<QueueIx>,
-    pub(crate) quick: super::headroom::Quick,
-    /// Jobs whose runs of an older version are replaced in steps.
+    /// Queues that are blocked only by the capacity reserved for quick tasks.
+    pub(crate) headroom_blocked: Vec<QueueIx>,
+    pub(crate) quick_usage: super::headroom::QuickUsage,
+    /// Jobs (with their `seq`) whose runs of an older specification are being replaced.
     pub(crate) updating: Vec<(JobIx, u64)>,
-    /// Jobs that can never run as the cell is.
-    pub(crate) never: Vec<(JobIx, u64)>,
+    /// Jobs (with their `seq`) that do not fit on any worker of this cell, even an empty one.
+    pub(crate) never_runs: Vec<(JobIx, u64)>,
     pub(crate) next_sweep: Timestamp,
 }
 
-/// What came of serving the head of a queue.
-enum Served {
-    /// Tasks started.
+/// Result of serving the head of a queue.
+enum ServeResult {
+    /// Number of tasks started.
     Started(usize),
-    /// The job had nothing to start now; the queue goes on.
+    /// The job had nothing to start; serve the queue's next job.
     Skipped,
-    /// Nothing fits.
+    /// No worker has room.
     Blocked,
-    /// The room that is left is held back for quick work.
-    HeldBack,
+    /// The remaining room is reserved for quick tasks.
+    NoHeadroom,
 }
 
 impl Scheduler {
-    /// Makes an empty scheduler; the seed drives the jitter of backoffs only.
+    /// Creates an empty scheduler; `seed` affects only the jitter of backoffs.
     pub fn new(seed: u64) -> Self {
         Self {
             cell: Cell::default(),
@@ -90,56 +91,56 @@
             drains: BTreeMap::new(),
             checkpoints: VecDeque::new(),
             quarantined: Vec::new(),
-            held_back: Vec::new(),
-            quick: super::headroom::Quick::default(),
+            headroom_blocked: Vec::new(),
+            quick_usage: super::headroom::QuickUsage::default(),
             updating: Vec::new(),
-            never: Vec::new(),
+            never_runs: Vec::new(),
             next_sweep: Timestamp::ZERO,
         }
     }
 
-    /// Puts a job with waiting tasks into its queue and lets it be served.
+    /// Puts a job with waiting tasks into its queue and makes the queue ready.
     pub(crate) fn enqueue(&mut self, ix: JobIx) {
         let job = self.cell.job(ix);
-        if job.closed || job.never.is_some() || job.waiting.is_empty() {
+        if job.closed || job.never_runs.is_some() || job.waiting.is_empty() {
             return;
         }
         if job.queue.is_none() {
             let spec = job.spec.clone();
-            let place = (job.order, job.seq);
+            let position = (job.queue_time, job.seq);
             let team = self.teams.ix(&spec.team);
-            let queue = self.queues.insert(ix, &spec, team, place);
+            let queue = self.queues.insert(ix, &spec, team, position);
             self.cell.job_mut(ix).queue = Some(queue);
         }
         let queue = self.cell.job(ix).queue.expect("queued job");
         self.wake(queue);
     }
 
-    /// Takes a job out of its queue.
+    /// Removes a job from its queue.
     pub(crate) fn dequeue(&mut self, ix: JobIx) {
         let job = self.cell.job_mut(ix);
-        let place = (job.order, job.seq);
+        let position = (job.queue_time, job.seq);
         if let Some(queue) = job.queue.take() {
-            self.queues.remove(queue, place);
+            self.queues.remove(queue, position);
         }
     }
 
-    /// Lets a queue be served at its present place.
+    /// Makes a queue ready at its current rank, unless its class of jobs is known not to fit.
     pub(crate) fn wake(&mut self, queue: QueueIx) {
         let q = self.queues.get(queue);
         let Some(head) = q.head() else {
             return;
         };
-        if self.queues.work(q.work).blocked && self.cell.job(head).holds == 0 {
+        if self.queues.equiv(q.equiv).blocked && self.cell.job(head).holds == 0 {
             return;
         }
         let grant = self.estimates.grant(&self.cell.job(head).spec);
-        let standing = self.teams.standing(q.team, &grant, &self.cell.total);
-        self.queues.make_ready(queue, standing);
+        let rank = self.teams.rank(q.team, &grant, &self.cell.total);
+        self.queues.make_ready(queue, rank);
     }
 
-    /// Lets the queues be served whose work fits into the room of a worker.
-    pub(crate) fn wake_for(&mut self, ix: WorkerIx) {
+    /// Makes the blocked queues ready whose next task fits into the room of a worker.
+    pub(crate) fn wake_fitting(&mut self, ix: WorkerIx) {
         let Some(worker) = self.cell.workers[ix as usize].as_ref() else {
             return;
         };
@@ -155,14 +156,14 @@
             };
             let spec = &self.cell.job(head).spec;
             if self.estimates.grant(spec).fits_in(&room) {
-                let work = q.work;
-                self.queues.work_mut(work).blocked = false;
+                let equiv = q.equiv;
+                self.queues.equiv_mut(equiv).blocked = false;
                 self.wake(queue);
             }
         }
     }
 
-    /// Serves the bands in order until `limit` tasks are started.
+    /// Serves the bands in order of priority until `limit` tasks are started.
     fn serve(&mut self, now: Timestamp, limit: usize, out: &mut Vec<Decision>) {
         let mut left = limit;
         for band in BY_PRIORITY {
@@ -173,17 +174,17 @@
                 if left < limit && self.gang_size(key.queue) > left {
                     return;
                 }
-                if let Some(standing) = self.later_standing(&key) {
-                    self.queues.make_ready(key.queue, standing);
+                if let Some(rank) = self.lowered_rank(&key) {
+                    self.queues.make_ready(key.queue, rank);
                     continue;
                 }
                 match self.serve_queue(now, key.queue, left, out) {
-                    Served::Started(n) => left = left.saturating_sub(n),
-                    Served::Skipped => {}
-                    Served::Blocked => self.queues.block(key.queue),
-                    Served::HeldBack => {
+                    ServeResult::Started(n) => left = left.saturating_sub(n),
+                    ServeResult::Skipped => {}
+                    ServeResult::Blocked => self.queues.block(key.queue),
+                    ServeResult::NoHeadroom => {
                         self.queues.block(key.queue);
-                        self.held_back.push(key.queue);
+                        self.headroom_blocked.push(key.queue);
                     }
                 }
                 if self.queues.exists(key.queue) && !self.queues.blocked.contains(&key.queue) {
@@ -193,21 +194,21 @@
         }
     }
 
-    /// Tasks that the head of a queue starts at once. A gang larger than the whole limit is
-    /// started alone.
+    /// Number of tasks that the head of a queue starts at once. A gang larger than `limit` is
+    /// started in a call of its own.
     fn gang_size(&self, queue: QueueIx) -> usize {
         let head = self.queues.get(queue).head().map(|ix| self.cell.job(ix));
         head.filter(|job| job.spec.class == WorkClass::Gang)
             .map_or(1, |job| job.waiting.len())
     }
 
-    /// A queue's place now, if its team uses more than when the queue became ready.
-    fn later_standing(&self, key: &ReadyKey) -> Option<Standing> {
+    /// The queue's current rank, if its team has been granted more since the queue became ready.
+    fn lowered_rank(&self, key: &ReadyKey) -> Option<FairShareRank> {
         let q = self.queues.get(key.queue);
         let head = q.head()?;
         let grant = self.estimates.grant(&self.cell.job(head).spec);
-        let now = self.teams.standing(q.team, &grant, &self.cell.total);
-        (now > key.standing).then_some(now)
+        let now = self.teams.rank(q.team, &grant, &self.cell.total);
+        (now > key.rank).then_some(now)
     }
 
     fn serve_queue(
@@ -216,20 +217,20 @@
         queue: QueueIx,
         left: usize,
         out: &mut Vec<Decision>,
-    ) -> Served {
+    ) -> ServeResult {
         let q = self.queues.get(queue);
-        let work = q.work;
+        let equiv = q.equiv;
         let Some(ix) = q.head() else {
-            return Served::Blocked;
+            return ServeResult::Blocked;
         };
         let job = self.cell.job(ix);
-        if self.queues.work(work).blocked && job.holds == 0 {
-            return Served::Blocked;
+        if self.queues.equiv(equiv).blocked && job.holds == 0 {
+            return ServeResult::Blocked;
         }
         if job.closed || job.waiting.is_empty() || !startable(job) {
             self.dequeue(ix);
-            self.finish_if_over(ix);
-            return Served::Skipped;
+            self.remove_if_finished(ix);
+            return ServeResult::Skipped;
         }
         let spec = job.spec.clone();
         let grant = self.grant_for(now, ix);
@@ -238,23 +239,23 @@
         } else {
             1
         };
-        if self.is_held_back(ix, &grant, n) {
-            return Served::HeldBack;
+        if self.lacks_headroom(ix, &grant, n) {
+            return ServeResult::NoHeadroom;
         }
         let served = if spec.class == WorkClass::Gang {
             self.start_gang(now, ix, grant, n, out)
         } else {
-            self.start_some(now, ix, grant, left, out)
+            self.start_tasks(now, ix, grant, left, out)
         };
-        if let Served::Blocked = served {
-            self.queues.work_mut(work).blocked = true;
+        if let ServeResult::Blocked = served {
+            self.queues.equiv_mut(equiv).blocked = true;
             self.make_room(now, ix, &grant, out);
         }
         served
     }
 
-    /// What a task of the job is granted: what was learnt, or the declared need where no worker
-    /// could hold what was learnt, or where the job has waited for it in vain.
+    /// Resources granted to a task of the job: the learnt size, or the declared need if no worker
+    /// could hold the learnt size or the job has waited `LEARNT_SIZE_TIMEOUT` for it.
     pub(crate) fn grant_for(&self, now: Timestamp, ix: JobIx) -> Resources {
         let job = self.cell.job(ix);
         let spec = &job.spec;
@@ -262,57 +263,56 @@
         if learnt == spec.need {
             return learnt;
         }
-        let patient = now.saturating_sub(job.at) < LEARNT_PATIENCE;
-        let fits = patient && search::any_group(&self.cell, spec, &learnt).is_some();
+        let within_timeout = now.saturating_sub(job.accepted_at) < LEARNT_SIZE_TIMEOUT;
+        let fits = within_timeout && search::find_empty_fit(&self.cell, spec, &learnt).is_some();
         if fits { learnt } else { spec.need }
     }
 
-    /// Tries the jobs again that have waited in vain for what was learnt.
-    pub(crate) fn wake_impatient(&mut self, now: Timestamp) {
+    /// Wakes the queues whose head has waited `LEARNT_SIZE_TIMEOUT` for its learnt size.
+    pub(crate) fn retry_with_declared_need(&mut self, now: Timestamp) {
         let blocked = self.queues.blocked.iter().copied();
-        let impatient: Vec<QueueIx> = blocked
+        let timed_out: Vec<QueueIx> = blocked
             .filter(|&q| {
                 let head = self.queues.get(q).head();
                 let job = head.map(|ix| self.cell.job(ix));
                 job.is_some_and(|job| {
-                    now.saturating_sub(job.at) >= LEARNT_PATIENCE
+                    now.saturating_sub(job.accepted_at) >= LEARNT_SIZE_TIMEOUT
                         && self.estimates.grant(&job.spec) != job.spec.need
                 })
             })
             .collect();
-        for queue in impatient {
-            let work = self.queues.get(queue).work;
-            self.queues.work_mut(work).blocked = false;
+        for queue in timed_out {
+            let equiv = self.queues.get(queue).equiv;
+            self.queues.equiv_mut(equiv).blocked = false;
             self.wake(queue);
         }
     }
 
-    fn start_some(
+    fn start_tasks(
         &mut self,
         now: Timestamp,
         ix: JobIx,
         grant: Resources,
         left: usize,
         out: &mut Vec<Decision>,
-    ) -> Served {
+    ) -> ServeResult {
         let ends = now.saturating_add(self.expected_run_time(ix));
-        let ask = Ask::new(&self.cell, ix, grant, ends);
-        let Some(worker) = search::find(&self.cell, &ask, &self.held) else {
-            return Served::Blocked;
+        let req = SearchRequest::new(&self.cell, ix, grant, ends);
+        let Some(worker) = search::find(&self.cell, &req, &self.held) else {
+            return ServeResult::Blocked;
         };
         let before = out.len();
         self.start_one(now, ix, worker, grant, out);
-        self.start_more_there(now, ix, worker, grant, left, out);
+        self.start_more_on(now, ix, worker, grant, left, out);
         if self.cell.job(ix).waiting.is_empty() {
             self.dequeue(ix);
         }
-        Served::Started(out.len() - before)
+        ServeResult::Started(out.len() - before)
     }
 
-    /// Fills the chosen worker with further tasks of the job while nothing else has a claim:
-    /// one search then serves many starts. A team takes at most `RUN_LENGTH` before the
-    /// others are looked at again.
-    fn start_more_there(
+    /// Starts further tasks of the job on the chosen worker, so that one search serves many
+    /// starts. At most `MAX_STARTS_PER_SEARCH` tasks start before other teams are considered.
+    fn start_more_on(
         &mut self,
         now: Timestamp,
         ix: JobIx,
@@ -321,17 +321,17 @@
         left: usize,
         out: &mut Vec<Decision>,
     ) {
-        const RUN_LENGTH: usize = 8;
+        const MAX_STARTS_PER_SEARCH: usize = 8;
         if self.cell.job(ix).spec.spread != crate::workload::Spread::None {
             return;
         }
-        for _ in 1..left.min(RUN_LENGTH) {
+        for _ in 1..left.min(MAX_STARTS_PER_SEARCH) {
             let w = self.cell.worker(worker);
             let more = !self.cell.job(ix).waiting.is_empty();
             if !more || w.hold.is_some() || !grant.fits_in(&w.room()) {
                 return;
             }
-            if self.is_held_back(ix, &grant, 1) {
+            if self.lacks_headroom(ix, &grant, 1) {
                 return;
             }
             self.start_one(now, ix, worker, grant, out);
@@ -345,20 +345,20 @@
         grant: Resources,
         n: u32,
         out: &mut Vec<Decision>,
-    ) -> Served {
+    ) -> ServeResult {
         let ends = now.saturating_add(self.expected_run_time(ix));
-        let ask = Ask::new(&self.cell, ix, grant, ends);
-        let Some(workers) = search::find_gang(&self.cell, &ask, n, &self.held) else {
-            return Served::Blocked;
+        let req = SearchRequest::new(&self.cell, ix, grant, ends);
+        let Some(workers) = search::find_gang(&self.cell, &req, n, &self.held) else {
+            return ServeResult::Blocked;
         };
         for worker in workers {
             self.start_one(now, ix, worker, grant, out);
         }
         self.dequeue(ix);
-        Served::Started(n as usize)
+        ServeResult::Started(n as usize)
     }
 
-    /// Grants one start of the job's next waiting task.
+    /// Grants one start to the job's next waiting task.
     pub(crate) fn start_one(
         &mut self,
         now: Timestamp,
@@ -374,8 +374,8 @@
         let run = self.cell.start(r, worker, grant, now);
         let team = self.teams.ix(&spec.team);
         self.teams.charge(team, &grant);
-        self.quick.started(&spec, &grant);
-        self.use_hold(ix, worker);
+        self.quick_usage.task_started(&spec, &grant);
+        self.consume_hold(ix, worker);
         out.push(Decision::Start {
             run,
             worker: self.cell.worker(worker).spec.id.clone(),
@@ -384,7 +384,7 @@
         r
     }
 
-    /// How long a task of the job is expected to run; longest for long-running ones.
+    /// Expected run time of one task of the job; `Duration::MAX` for long-running ones.
     pub(crate) fn expected_run_time(&self, ix: JobIx) -> Duration {
         let job = self.cell.job(ix);
         if job.long_running() {
@@ -394,36 +394,36 @@
         }
     }
 
-    /// Removes a job of which nothing is left.
-    pub(crate) fn finish_if_over(&mut self, ix: JobIx) {
-        if self.cell.job(ix).over() {
+    /// Removes a job that has no tasks left to start or to wait for.
+    pub(crate) fn remove_if_finished(&mut self, ix: JobIx) {
+        if self.cell.job(ix).is_finished() {
             self.dequeue(ix);
-            self.drop_holds_of(ix);
+            self.drop_job_holds(ix);
             self.cell.remove_job(ix);
         }
     }
 }
 
-/// Says whether a job's waiting tasks may start now: a gang that starts all again first has to
-/// be gone as a whole.
+/// Whether a job's waiting tasks may start now. A gang that restarts as a whole waits until all
+/// its runs have ended.
 fn startable(job: &super::records::Job) -> bool {
     if job.spec.class != WorkClass::Gang {
         return true;
     }
-    let whole = job.running == 0 || job.spec.on_member_loss == MemberLoss::Replace;
-    whole && job.backing_off == 0
+    let no_restart_pending = job.running == 0 || job.spec.on_member_loss == MemberLoss::Replace;
+    no_restart_pending && job.backing_off == 0
 }
 
 impl Placer for Scheduler {
     fn handle(&mut self, now: Timestamp, event: Event) {
-        self.take_in(now, event);
+        self.apply_event(now, event);
     }
 
     fn decide(&mut self, now: Timestamp, limit: usize, out: &mut Vec<Decision>) {
         out.append(&mut self.pending);
         self.stop_cancelled(out);
         self.end_backoffs(now);
-        self.wake_held_back(now);
+        self.wake_headroom_blocked(now);
         if now >= self.next_sweep {
             self.next_sweep = now + SWEEP;
             self.sweep(now, out);
--- a/src/placement/teams.rs
+++ b/src/placement/teams.rs
@@ -1,4 +1,4 @@
-//! What each team uses, and its place among the teams.
+//! Resource usage of the teams and their fair-share ranks.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,31 +6,31 @@
 use crate::ids::{TeamName, Timestamp};
 use crate::resources::Resources;
 
-/// Position of a team in the table.
+/// Index of a team in [`Teams::all`].
 pub(crate) type TeamIx = u32;
 
-/// Steps into which a share is cut; a change smaller than a step does not reorder queues.
+/// Resolution of a share; smaller changes do not reorder queues.
 const SHARE_STEPS: u64 = 4096;
 
-/// A team and what it uses.
+/// A team's quota, weight and grants.
 #[derive(Debug)]
 pub(crate) struct TeamState {
     pub(crate) name: TeamName,
     pub(crate) quota: Resources,
     pub(crate) weight: u32,
     pub(crate) used: Resources,
-    /// Since when its work is blocked within its quota and nothing of it started.
-    pub(crate) short_since: Option<Timestamp>,
+    /// When its tasks were first blocked within its quota; cleared when one of them starts.
+    pub(crate) starved_since: Option<Timestamp>,
 }
 
-/// A team's place: those within their quota go first, then the smallest dominant share.
+/// Sort key for fair sharing: teams within their quota first, then by smallest dominant share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Standing {
+pub(crate) struct FairShareRank {
     pub(crate) borrowing: bool,
     pub(crate) share: u32,
 }
 
-/// All teams that have work or a quota.
+/// All teams that have a quota or have had a job.
 #[derive(Debug, Default)]
 pub(crate) struct Teams {
     pub(crate) all: Vec<TeamState>,
@@ -38,7 +38,8 @@
 }
 
 impl Teams {
-    /// Finds a team; one that the document does not name has no quota and weight 1.
+    /// Index of a team, added if needed; one that the document does not list has no quota and
+    /// weight 1.
     pub(crate) fn ix(&mut self, name: &TeamName) -> TeamIx {
         if let Some(&ix) = self.by_name.get(name) {
             return ix;
@@ -50,22 +51,22 @@
             quota: Resources::ZERO,
             weight: 1,
             used: Resources::ZERO,
-            short_since: None,
+            starved_since: None,
         });
         ix
     }
 
-    /// Finds a team's position without adding it.
+    /// Index of a team, if it has been added.
     pub(crate) fn find(&self, name: &TeamName) -> Option<TeamIx> {
         self.by_name.get(name).copied()
     }
 
-    /// Finds a team without adding it.
+    /// Looks up a team without adding it.
     pub(crate) fn get(&self, name: &TeamName) -> Option<&TeamState> {
         self.by_name.get(name).map(|&ix| &self.all[ix as usize])
     }
 
-    /// Takes in the document's quotas and weights.
+    /// Applies the document's quotas and weights.
     pub(crate) fn set(&mut self, declared: &BTreeMap<TeamName, Team>) {
         for team in &mut self.all {
             team.quota = Resources::ZERO;
@@ -81,7 +82,7 @@
     pub(crate) fn charge(&mut self, ix: TeamIx, granted: &Resources) {
         let team = &mut self.all[ix as usize];
         team.used = team.used.saturating_add(granted);
-        team.short_since = None;
+        team.starved_since = None;
     }
 
     pub(crate) fn refund(&mut self, ix: TeamIx, granted: &Resources) {
@@ -89,17 +90,18 @@
         team.used = team.used.saturating_sub(granted);
     }
 
-    /// The team's place if it were granted `more`.
-    pub(crate) fn standing(&self, ix: TeamIx, more: &Resources, total: &Resources) -> Standing {
+    /// The team's rank; whether it would be borrowing is computed with `more` granted to it.
+    pub(crate) fn rank(&self, ix: TeamIx, more: &Resources, total: &Resources) -> FairShareRank {
         let team = &self.all[ix as usize];
         let used = team.used.saturating_add(more);
-        Standing {
+        FairShareRank {
             borrowing: !used.fits_in(&team.quota),
             share: share(&team.used, team.weight, total),
         }
     }
 
-    /// Says whether the team keeps its whole quota when `less` is taken from it.
+    /// Whether, for some resource, the team uses more than its quota and would still use all of its
+    /// quota without `less`.
     pub(crate) fn over_quota_by(&self, ix: TeamIx, less: &Resources) -> bool {
         let team = &self.all[ix as usize];
         let left = team.used.saturating_sub(less);
@@ -114,7 +116,8 @@
     }
 }
 
-/// The largest of the shares of processors, memory and accelerators, divided by the weight.
+/// Dominant share: the largest of the shares of processors, memory and accelerators, divided by
+/// the weight, in steps of 1/4096.
 pub(crate) fn share(used: &Resources, weight: u32, total: &Resources) -> u32 {
     let part = |used: u32, total: u32| {
         u64::from(used) * SHARE_STEPS / u64::from(total.max(1)) / u64::from(weight.max(1))
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases as their grantor counts them.
+//! Lease expiry as measured by the grantor.
 
 use std::time::Duration;
 
@@ -12,9 +12,8 @@
 }
 
 #[test]
-fn a_shorter_lease_does_not_cut_what_was_granted() {
-    // An operator shortens the lease. A worker that was granted the longer one a moment ago may
-    // still rely on it.
+fn a_shorter_ttl_does_not_shorten_a_granted_lease() {
+    // A new document shortens the ttl. The holder still relies on the longer lease granted before.
     let mut table = LeaseTable::default();
     assert!(table.renew(&"w", 1, ms(0), TTL));
     assert!(table.renew(&"w", 1, ms(1), ms(100)));
@@ -23,7 +22,7 @@
 }
 
 #[test]
-fn a_lease_that_was_declared_over_is_not_renewed() {
+fn an_expired_lease_is_not_renewed() {
     let mut table = LeaseTable::default();
     table.renew(&"w", 1, ms(0), TTL);
     assert_eq!(table.expire(ms(10_101)), vec![("w", 1)]);
@@ -35,10 +34,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the delay and the drift (up to one part in a hundred), the holder's lease is
-    /// over by its own clock when the grantor declares it over.
+    /// When the grantor declares a lease expired, it has expired by the holder's clock, whatever the
+    /// transit delay and for clock drift of up to one part in a hundred.
     #[test]
-    fn the_holder_is_done_first(
+    fn a_lease_expires_for_its_holder_first(
         sends in proptest::collection::vec((1u64..20_000, 0u64..3_000), 1..20),
         slow in 0u64..=10,
         step in 1u64..500,
@@ -52,13 +51,13 @@
             let mut now = time;
             while now < received {
                 for _ in table.expire(ms(now)) {
-                    // The holder's clock may run slower by one part in a hundred.
                     prop_assert!(now >= holder_until);
                     table.forget(&"w");
                 }
                 now += step;
             }
             if table.renew(&"w", 1, ms(received), TTL) {
+                // The holder's clock runs slower by up to one part in a hundred.
                 let ttl = 10_000 + 10_000 * slow / 1_000;
                 holder_until = holder_until.max(sent + ttl);
             }
--- a/tests/placement_random.rs
+++ b/tests/placement_random.rs
@@ -1,4 +1,4 @@
-//! What must always hold, checked after every event of random histories.
+//! Invariants of placement, checked after every event of random histories.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, TestRunner};
@@ -9,12 +9,12 @@
 use yuccahold::resources::Resources;
 use yuccahold::workload::{Band, MemberLoss, Spread, WorkClass};
 
-/// Workers of the random cell.
+/// Number of workers in the cell.
 const WORKERS: u32 = 6;
-/// Time from the last random event to the end, in which all work has to end.
+/// Time after the last event within which all jobs have to end.
 const TAIL_MS: u64 = 600_000;
 
-/// One random event.
+/// A random event; the numbers are worker indices, milliseconds, counts or percentages.
 #[derive(Clone, Debug)]
 enum Op {
     Job {
@@ -113,8 +113,8 @@
     }
 }
 
-/// Turns random events into a trace. At the end every worker is whole, back and taking work,
-/// and long-running work is cancelled, so that all else can end.
+/// Turns random events into a trace. At the end every worker is repaired, up and not draining, and
+/// long-running jobs are cancelled, so that all other jobs can end.
 fn trace(ops: &[(u64, Op)]) -> Trace {
     let mut at_ms = 0;
     let mut lines: Vec<Line> = (0..WORKERS)
@@ -206,7 +206,7 @@
                     memory_mb: part(use_of.memory_mb),
                     accelerators: 0,
                 }),
-                // A long-running task that always fails never ends.
+                // A long-running job that always fails would never end.
                 fails: fails && kind < 8,
             })
         }
@@ -237,22 +237,27 @@
     }
 }
 
-/// Runs random histories; says what did not hold in the smallest one found.
-fn holds<P: Placer>(cases: u32, make: impl Fn() -> P, all_ends: bool, drains: bool) {
+/// Replays random histories; panics with the invariants violated by the smallest failing one.
+fn check_invariants<P: Placer>(
+    cases: u32,
+    make: impl Fn() -> P,
+    all_jobs_end: bool,
+    check_drains: bool,
+) {
     let config = Config {
         cases,
         failure_persistence: None,
         ..Config::default()
     };
-    let mut runner = TestRunner::new_with_rng(config, deterministic());
+    let mut runner = TestRunner::new_with_rng(config, fixed_rng());
     let history = prop::collection::vec((0..4000_u64, op()), 1..60);
     let checked = runner.run(&history, |ops| {
         let trace = trace(&ops);
         let got = replay::run(&trace, &make).unwrap();
         let mut missed = Outcome::unbounded().missed(&got);
-        missed.retain(|m| drains || !m.contains("was not empty"));
+        missed.retain(|m| check_drains || !m.contains("was not empty"));
         prop_assert!(missed.is_empty(), "{missed:#?}");
-        let ended = !all_ends || got.unfinished == 0;
+        let ended = !all_jobs_end || got.unfinished == 0;
         prop_assert!(ended, "{} did not end: {:#?}", got.unfinished, got.reasons);
         Ok(())
     });
@@ -261,23 +266,23 @@
     }
 }
 
-fn deterministic() -> proptest::test_runner::TestRng {
+fn fixed_rng() -> proptest::test_runner::TestRng {
     let algorithm = proptest::test_runner::RngAlgorithm::ChaCha;
     proptest::test_runner::TestRng::from_seed(algorithm, &[17; 32])
 }
 
-// Workers die, are cut off, lie, break and are drained; jobs of every class and band arrive
-// and are cancelled; leaders change. The caller sees no task doubled, no worker overfilled, no
-// part of a gang alone, each drained worker empty in time, and in the end every task ended.
+// Workers fail, are partitioned, report false usage, fail their tasks and are drained; jobs of
+// every class and band arrive and are cancelled; leaders change. No task may run twice, no worker
+// be overcommitted and no gang run partially; drained workers are empty in time, and all jobs end.
 #[test]
-fn the_scheduler_holds_under_random_histories() {
-    holds(500, || Scheduler::new(3), true, true);
+fn scheduler_invariants_hold_in_random_histories() {
+    check_invariants(500, || Scheduler::new(3), true, true);
 }
 
-// The baselines keep the books by the same rules, or measuring against them would be unfair.
-// They leave drained workers to finish what runs there.
+// The baselines have to follow the same rules for the comparison to be fair, except that they let
+// runs on draining workers finish.
 #[test]
-fn the_baselines_hold_under_random_histories() {
-    holds(40, FirstFit::new, false, false);
-    holds(40, || RandomOfK::new(3, 2, 4), false, false);
+fn baseline_invariants_hold_in_random_histories() {
+    check_invariants(40, FirstFit::new, false, false);
+    check_invariants(40, || RandomOfK::new(3, 2, 4), false, false);
 }
