--- a/tests/placement_rules.rs
+++ b/tests/placement_rules.rs
@@ -1,4 +1,4 @@
-//! Rules of placement, one decision at a time.
+//! Placement rules, checked on single decisions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -80,7 +80,7 @@
     placer.handle(now, Event::RunEnded { run, worker, end });
 }
 
-fn fills_and_refills(placer: &mut impl Placer) {
+fn check_fill_and_refill(placer: &mut impl Placer) {
     placer.handle(T0, worker("w1", "bern-a", 8, 8000));
     arrive(placer, T0, job("plan", 3, 4));
     let first = starts(&decide(placer, T0));
@@ -95,16 +95,16 @@
 }
 
 #[test]
-fn every_placer_fills_a_worker_and_never_more() {
-    fills_and_refills(&mut Scheduler::new(1));
-    fills_and_refills(&mut FirstFit::new());
-    fills_and_refills(&mut RandomOfK::new(1, 2, 8));
+fn every_placer_fills_a_worker_without_overcommitting() {
+    check_fill_and_refill(&mut Scheduler::new(1));
+    check_fill_and_refill(&mut FirstFit::new());
+    check_fill_and_refill(&mut RandomOfK::new(1, 2, 8));
 }
 
-// Two gangs of four each find half of the cell free. Held halves would keep both waiting for
-// ever. The caller sees one start whole, then the other, and never a part of one.
+// Guards against deadlock of two gangs that each need the whole cell: if each held half of it,
+// neither could start. They start one after the other, each as a whole.
 #[test]
-fn two_crossing_gangs_start_one_after_the_other() {
+fn two_competing_gangs_start_one_after_the_other() {
     let mut s = Scheduler::new(1);
     for name in ["w1", "w2", "w3", "w4"] {
         s.handle(T0, worker(name, "bern-a", 8, 8000));
@@ -132,11 +132,11 @@
     assert!(second.iter().all(|(run, _)| run.task.job == "right"));
 }
 
-// A worker dies after a gang was decided and before its start was carried out. One start is
-// refused, the others happen. The caller must not see a part of the gang run on: by its rule
-// the others are stopped, and all start again elsewhere with the refused attempt used again.
+// Guards against a partially running gang. A worker fails after the gang's start was decided but
+// before it was carried out, so one start is refused and the other happens. The other run is
+// stopped, and all tasks start elsewhere; the refused attempt number is used again.
 #[test]
-fn a_gang_that_loses_a_worker_before_its_start_is_started_whole_again() {
+fn a_gang_with_a_refused_start_restarts_as_a_whole() {
     let mut s = Scheduler::new(1);
     for name in ["w1", "w2", "w3"] {
         s.handle(T0, worker(name, "bern-a", 8, 8000));
@@ -166,10 +166,10 @@
     assert_eq!(attempts, [1, 2]);
 }
 
-// The leader dies with grants outstanding. The new one is told the workers and each task's
-// state. The caller sees nothing start twice, and no worker gets more than it holds.
+// Guards against double starts and overcommitted workers after a leader change. The new leader's
+// placer is built from the workers and the state of each task.
 #[test]
-fn a_rebuilt_placer_honours_the_grants_of_the_old_one() {
+fn a_restored_placer_keeps_earlier_grants() {
     let mut s = Scheduler::new(2);
     s.handle(T0, worker("w1", "bern-a", 8, 8000));
     let task = |index, attempt, state| RestoredTask {
@@ -219,14 +219,14 @@
     assert_eq!(all, [(2, 1), (3, 4)]);
 }
 
-// A non-idempotent task that ran must never start again, whatever is reported of its end.
+// Guards against a second start of a non-idempotent task that ran, however its run ended.
 #[rstest]
 #[case(RunEnd::Done, false)]
 #[case(RunEnd::Failed, false)]
 #[case(RunEnd::Stopped, false)]
 #[case(RunEnd::Checkpointed, true)]
 #[case(RunEnd::NeverStarted, true)]
-fn a_non_idempotent_task_starts_again_only_if_it_lost_nothing(
+fn a_non_idempotent_task_restarts_only_if_unstarted_or_checkpointed(
     #[case] how: RunEnd,
     #[case] again: bool,
 ) {
@@ -241,10 +241,10 @@
     assert_eq!(starts(&decide(&mut s, at(200))).len(), usize::from(again));
 }
 
-// The cell is full of work that can save its state. Urgent work arrives; the caller sees it
-// start as soon as one run has saved, and the saved one starts again later as attempt 2.
+// The cell is full when an urgent task arrives. It starts as soon as the run with checkpoints has
+// ended, not the run without; the preempted task starts again later as attempt 2.
 #[test]
-fn urgent_work_takes_the_room_of_work_that_can_save_its_state() {
+fn an_urgent_task_preempts_a_run_with_checkpoints() {
     let mut s = Scheduler::new(1);
     s.handle(T0, worker("w1", "bern-a", 8, 8000));
     let mut saving = job("plan", 1, 4);
