--- a/src/lease/table.rs
+++ b/src/lease/table.rs
@@ -53,8 +53,8 @@
     }
 
     /// Renews a lease, or grants the holder's first one; returns whether it was granted. It is
-    /// refused while another process holds the lease, and once the lease was declared expired, since
-    /// the holder's work may already have been given to another.
+    /// refused while another process holds the lease, and once the lease was declared expired,
+    /// since the holder's work may already have been given to another.
     pub fn renew(&mut self, holder: &K, process: ProcessId, now: Timestamp, ttl: Duration) -> bool {
         let Some(lease) = self.leases.get_mut(holder) else {
             self.assume(holder.clone(), process, now, ttl);
--- a/src/placement/cell.rs
+++ b/src/placement/cell.rs
@@ -70,8 +70,8 @@
 
     /// All workers in the order of their indices.
     pub(crate) fn iter_workers(&self) -> impl Iterator<Item = (WorkerIx, &Worker)> {
-        let all = self.workers.iter().enumerate();
-        all.filter_map(|(i, w)| w.as_ref().map(|w| (i as WorkerIx, w)))
+        let entries = self.workers.iter().enumerate();
+        entries.filter_map(|(i, w)| w.as_ref().map(|w| (i as WorkerIx, w)))
     }
 
     /// Adds a worker, or applies its new specification.
@@ -162,7 +162,7 @@
         let id = worker.spec.id.clone();
         debug_assert_eq!(worker.quick_slots, 0, "a worker that is down has no slots");
         if let Some(group) = worker.slot.group {
-            self.index.groups[group as usize].workers -= 1;
+            self.index.groups[group as usize].worker_count -= 1;
         }
         self.worker_ix.remove(&id);
         self.workers[ix as usize] = None;
@@ -250,9 +250,9 @@
             self.restore_task(ix, restored);
         }
         let job = self.job_mut(ix);
-        let all = &job.tasks;
+        let all_tasks = &job.tasks;
         job.waiting
-            .retain(|&i| matches!(all[i as usize].phase, Phase::Waiting));
+            .retain(|&i| matches!(all_tasks[i as usize].phase, Phase::Waiting));
         Some(ix)
     }
 
@@ -285,8 +285,8 @@
         }
     }
 
-    /// The worker of a restored run. One that has not joined yet is added as down, so that the grant
-    /// is counted and the run can be reported lost.
+    /// The worker of a restored run. One that has not joined yet is added as down, so that the
+    /// grant is counted and the run can be reported lost.
     fn find_or_add_down(&mut self, id: &WorkerId) -> WorkerIx {
         if let Some(ix) = self.find_worker(id) {
             return ix;
--- a/src/placement/classes.rs
+++ b/src/placement/classes.rs
@@ -27,7 +27,7 @@
     /// Classes that have members.
     pub(crate) active: Vec<ClassIx>,
     /// Number of workers, whatever their state.
-    pub(crate) workers: u32,
+    pub(crate) worker_count: u32,
     /// Largest number of workers so far. A lost worker may come back, so a job is reported as
     /// fitting nowhere only if this many workers would not be enough either.
     pub(crate) peak_workers: u32,
@@ -72,8 +72,8 @@
 }
 
 impl ClassIndex {
-    /// Moves a worker to the class of its room. Without room it belongs to no class and is not found
-    /// by searches.
+    /// Moves a worker to the class of its room. Without room it belongs to no class and is not
+    /// found by searches.
     pub(crate) fn update(
         &mut self,
         ix: WorkerIx,
@@ -107,7 +107,7 @@
             if same {
                 return ix;
             }
-            self.groups[ix as usize].workers -= 1;
+            self.groups[ix as usize].worker_count -= 1;
         }
         let key = (spec.zone.clone(), spec.accelerator.clone(), spec.capacity);
         let next = self.groups.len() as GroupIx;
@@ -118,13 +118,13 @@
                 accelerator: spec.accelerator.clone(),
                 capacity: spec.capacity,
                 active: Vec::new(),
-                workers: 0,
+                worker_count: 0,
                 peak_workers: 0,
             });
         }
         let group = &mut self.groups[ix as usize];
-        group.workers += 1;
-        group.peak_workers = group.peak_workers.max(group.workers);
+        group.worker_count += 1;
+        group.peak_workers = group.peak_workers.max(group.worker_count);
         ix
     }
 
--- a/src/placement/estimates.rs
+++ b/src/placement/estimates.rs
@@ -8,7 +8,7 @@
 use crate::resources::Resources;
 use crate::workload::JobSpec;
 
-/// Half-life of the learnt sizes while no reports arrive.
+/// Half-life of the learnt sizes; new reports raise them again.
 const HALF_LIFE: Duration = Duration::from_secs(3600);
 /// Weight of a new run time in the moving average.
 const NEW_RUN_WEIGHT: f64 = 0.2;
--- a/src/placement/faults.rs
+++ b/src/placement/faults.rs
@@ -20,11 +20,12 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
 /// Upper limit on the doublings of the time to a worker's next trial.
 const MAX_TRIAL_DOUBLINGS: u32 = 3;
-/// Number of workers remembered per job on which it failed.
+/// Upper limit on the workers that a job remembers having failed on.
 const MAX_FAILED_ON: usize = 8;
 /// Number of different workers on which a job must fail before the job itself is at fault.
 const FAULTY_JOB_WORKERS: usize = 2;
-/// At most one worker in this many is in quarantine, so that faulty jobs cannot empty the cell.
+/// At most one worker in this many, plus one, is in quarantine, so that faulty jobs cannot empty
+/// the cell.
 const QUARANTINE_DIVISOR: usize = 4;
 
 impl Scheduler {
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -64,8 +64,8 @@
         let spec = job.spec.clone();
         let missing = self.missing(ix, need);
         let team = self.teams.ix(&spec.team);
-        let next_use = need.checked_mul(job.preemption_holds + 1).unwrap_or(*need);
-        let rank = self.teams.rank(team, &next_use, &self.cell.total);
+        let total_need = need.checked_mul(job.preemption_holds + 1).unwrap_or(*need);
+        let rank = self.teams.rank(team, &total_need, &self.cell.total);
         let may_reclaim = !rank.borrowing && self.is_starved(now, team);
         let preemptor = Preemptor {
             band: spec.band,
@@ -83,7 +83,7 @@
             };
             plans.push(plan);
         }
-        // Room for only part of a gang is useless: the stopped runs' work would be lost for nothing.
+        // Room for only part of a gang is useless: the victims' work would be lost for nothing.
         if spec.class == WorkClass::Gang && (plans.len() as u32) < missing {
             return;
         }
--- a/src/placement/queues.rs
+++ b/src/placement/queues.rs
@@ -25,6 +25,7 @@
     accelerator: Option<AcceleratorName>,
     zones: Vec<ZoneName>,
     spread: Spread,
+    /// Number of tasks of a gang; 0 for other classes of work.
     gang: u32,
     idempotent: bool,
     checkpoint: bool,
@@ -58,6 +59,7 @@
     key: EquivKey,
     /// The last attempt found no room, and no worker has got enough room since.
     pub(crate) blocked: bool,
+    /// Number of queues with jobs of this class.
     queues: u32,
 }
 
--- a/src/placement/records.rs
+++ b/src/placement/records.rs
@@ -41,7 +41,7 @@
 pub(crate) struct Quarantine {
     /// When the next trial may start.
     pub(crate) trial_at: Timestamp,
-    /// Number of failed trials; each doubles the time until the next one.
+    /// Number of failed trials; each doubles the time until the next one, up to a limit.
     pub(crate) failed_trials: u32,
     /// The trial that is running.
     pub(crate) trial: Option<RunRef>,
@@ -134,7 +134,7 @@
     pub(crate) version: u32,
 }
 
-/// Phase of a task between its starts.
+/// Lifecycle phase of a task.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Phase {
     Waiting,
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -47,6 +47,7 @@
     /// Workers with a hold; each is held for one job.
     pub(crate) held: Vec<WorkerIx>,
     pub(crate) reservation: Option<Reservation>,
+    /// Deadlines of drains, also of workers that have not joined yet.
     pub(crate) drains: BTreeMap<WorkerId, Timestamp>,
     /// Runs asked to checkpoint, with the time at which they are stopped instead.
     pub(crate) checkpoints: VecDeque<(Timestamp, TaskRun)>,
@@ -125,7 +126,8 @@
         }
     }
 
-    /// Makes a queue ready at its current rank, unless its class of jobs is known not to fit.
+    /// Makes a queue ready at its current rank, unless its equivalence class is blocked and the
+    /// head has no hold.
     pub(crate) fn wake(&mut self, queue: QueueIx) {
         let q = self.queues.get(queue);
         let Some(head) = q.head() else {
@@ -207,8 +209,8 @@
         let q = self.queues.get(key.queue);
         let head = q.head()?;
         let grant = self.estimates.grant(&self.cell.job(head).spec);
-        let now = self.teams.rank(q.team, &grant, &self.cell.total);
-        (now > key.rank).then_some(now)
+        let current = self.teams.rank(q.team, &grant, &self.cell.total);
+        (current > key.rank).then_some(current)
     }
 
     fn serve_queue(
--- a/src/placement/search.rs
+++ b/src/placement/search.rs
@@ -34,16 +34,16 @@
 
 impl<'a> SearchRequest<'a> {
     pub(crate) fn new(cell: &'a Cell, job: JobIx, need: Resources, ends: Timestamp) -> Self {
-        let found = cell.job(job);
+        let record = cell.job(job);
         Self {
             job,
-            band: found.spec.band,
+            band: record.spec.band,
             need,
-            accelerator: found.spec.accelerator.as_ref(),
-            zones: &found.spec.zones,
-            spread: found.spec.spread,
-            domains: &found.domains,
-            avoid: &found.failed_on,
+            accelerator: record.spec.accelerator.as_ref(),
+            zones: &record.spec.zones,
+            spread: record.spec.spread,
+            domains: &record.domains,
+            avoid: &record.failed_on,
             ends,
         }
     }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -34,8 +34,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// When the grantor declares a lease expired, it has expired by the holder's clock, whatever the
-    /// transit delay and for clock drift of up to one part in a hundred.
+    /// When the grantor declares a lease expired, it has expired by the holder's clock, whatever
+    /// the transit delay and for clock drift of up to one part in a hundred.
     #[test]
     fn a_lease_expires_for_its_holder_first(
         sends in proptest::collection::vec((1u64..20_000, 0u64..3_000), 1..20),
