--- a/src/placement/search.rs
+++ b/src/placement/search.rs
@@ -147,8 +147,8 @@
 /// Falls back to a worker on which the job failed.
 fn find_on_avoided(cell: &Cell, req: &SearchRequest<'_>) -> Option<WorkerIx> {
     req.avoid.iter().copied().find(|&ix| {
-        let found = cell.workers[ix as usize].as_ref();
-        found.is_some_and(|w| w.open() && w.hold.is_none() && fits(cell, req, w))
+        let entry = cell.workers[ix as usize].as_ref();
+        entry.is_some_and(|w| w.open() && w.hold.is_none() && fits(cell, req, w))
     })
 }
 
