--- a/src/batch/agents.rs
+++ b/src/batch/agents.rs
@@ -1,8 +1,8 @@
-//! Agents: processes with a connection to the leader that send orders to minions and questions to
-//! the policy service on its behalf.
+//! Agents: processes connected to the leader that send orders to minions and questions to the
+//! policy service on its behalf.
 //!
-//! An agent owns nothing. Every order carries the leader's fencing token and is idempotent, so the
-//! death of an agent costs a repetition and no lease.
+//! Agents hold no state. Every order carries the leader's fencing token and is idempotent, so when
+//! an agent fails, orders are repeated, but no lease is lost.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -12,37 +12,40 @@
 
 use super::calls::{Down, OrderNumber};
 use super::dispatch::{AdviceQuestion, MinionAnswer, MinionOrder, OrderKind, QuestionId, Target};
-use super::machine::Answered;
+use super::machine::OrderOutcome;
 use super::model::MinionNumber;
 use super::rank::rank;
 use crate::ids::{Timestamp, ZoneName};
 
-/// Number of an agent's connection.
+/// Number of an agent's connection to the leader.
 pub type AgentId = u64;
 
-/// Time for an agent's answer beyond what its call may take; after it the agent counts as stuck.
-const ANSWER_TIME: Duration = Duration::from_millis(800);
-/// How long a stuck agent gets no orders.
-const REST: Duration = Duration::from_secs(2);
+/// Time allowed for an agent's answer beyond what a hold may wait; then the agent counts as stuck.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time for which a stuck agent gets no orders.
+const SUSPENSION: Duration = Duration::from_secs(2);
 
-struct Sent {
+/// An order handed to an agent that has no answer yet.
+struct OpenOrder {
     minion: MinionNumber,
     order: OrderKind,
-    unanswered: MinionAnswer,
+    /// Reported to the dispatcher if the agent gives no answer.
+    missing_answer: MinionAnswer,
     sent: Timestamp,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
 struct Agent {
     tx: UnboundedSender<Down>,
     zone: ZoneName,
-    /// Whether it is this very process.
-    own: bool,
+    /// Whether it runs on the leader's host; such an agent gets questions but no orders.
+    on_leader_host: bool,
     /// Orders without an answer.
-    open: BTreeMap<OrderNumber, Sent>,
-    rests_until: Timestamp,
-    /// Expected time of all questions that it has not answered.
+    open: BTreeMap<OrderNumber, OpenOrder>,
+    suspended_until: Timestamp,
+    /// Sum of the expected times of the unanswered questions.
     backlog: Duration,
+    /// Unanswered questions with their expected times.
     questions: Vec<(QuestionId, Duration)>,
 }
 
@@ -52,42 +55,49 @@
     next_order: OrderNumber,
 }
 
-/// All agents of a leader; cheap to clone.
+/// The agents connected to this process; clones share them.
 #[derive(Clone, Default)]
 pub struct Agents(Arc<Mutex<Pool>>);
 
 impl Agents {
-    /// Adds a connection.
-    pub fn add(&self, id: AgentId, tx: UnboundedSender<Down>, zone: ZoneName, own: bool) {
+    /// Adds an agent, to which messages are sent through `tx`.
+    pub fn add(
+        &self,
+        id: AgentId,
+        tx: UnboundedSender<Down>,
+        zone: ZoneName,
+        on_leader_host: bool,
+    ) {
         let agent = Agent {
             tx,
             zone,
-            own,
+            on_leader_host,
             open: BTreeMap::new(),
-            rests_until: Timestamp::ZERO,
+            suspended_until: Timestamp::ZERO,
             backlog: Duration::ZERO,
             questions: Vec::new(),
         };
         self.lock().agents.insert(id, agent);
     }
 
-    /// Number of agents.
+    /// Number of connected agents, stuck ones included.
     pub fn count(&self) -> usize {
         self.lock().agents.len()
     }
 
-    /// Takes a connection away; gives what it left unanswered.
-    pub(crate) fn remove(&self, id: AgentId) -> (Vec<Answered>, Vec<QuestionId>) {
+    /// Removes an agent; returns its open orders and unanswered questions.
+    pub(crate) fn remove(&self, id: AgentId) -> (Vec<OrderOutcome>, Vec<QuestionId>) {
         let mut pool = self.lock();
         let Some(agent) = pool.agents.remove(&id) else {
             return Default::default();
         };
-        let open = agent.open.into_values().map(Sent::without_answer);
+        let open = agent.open.into_values().map(OpenOrder::into_unanswered);
         let questions = agent.questions.into_iter().map(|(question, _)| question);
         (open.collect(), questions.collect())
     }
 
-    /// Hands an order to the minion's agent; gives it back when there is nobody.
+    /// Adds an order to the batch of the agent chosen for the minion. Returns the order when there
+    /// is no suitable agent.
     pub fn send(
         &self,
         now: Timestamp,
@@ -96,7 +106,7 @@
         order: MinionOrder,
     ) -> Option<(Target, MinionOrder)> {
         let mut pool = self.lock();
-        let Some(id) = pool.agent_of(now, &target) else {
+        let Some(id) = pool.choose_agent(now, &target) else {
             return Some((target, order));
         };
         pool.next_order += 1;
@@ -108,12 +118,12 @@
             MinionOrder::Hold(hold) => hold.wait,
             _ => Duration::ZERO,
         };
-        let sent = Sent {
+        let sent = OpenOrder {
             minion: target.minion,
             order: order.kind(),
-            unanswered: order.not_called(),
+            missing_answer: order.not_called(),
             sent: now,
-            until: now + wait + ANSWER_TIME,
+            expires_at: now + wait + ANSWER_TIMEOUT,
         };
         agent.open.insert(number, sent);
         batches
@@ -124,61 +134,64 @@
         None
     }
 
-    /// Sends what was gathered, one message an agent.
+    /// Sends the batches, in one message per agent.
     pub fn flush(&self, batches: Batches) {
         let pool = self.lock();
         for (id, orders) in batches.0 {
             if let Some(agent) = pool.agents.get(&id) {
-                // A connection that has just ended gives its orders back when it is removed.
+                // If the connection has just closed, `remove` returns the orders as unanswered.
                 let _ = agent.tx.send(Down::Orders(orders));
             }
         }
     }
 
-    /// Takes answers of an agent.
-    pub(crate) fn done(
+    /// Matches an agent's answers with its open orders; answers to expired orders are dropped.
+    pub(crate) fn orders_answered(
         &self,
         id: AgentId,
         answers: Vec<(OrderNumber, MinionAnswer)>,
-    ) -> Vec<Answered> {
+    ) -> Vec<OrderOutcome> {
         let mut pool = self.lock();
         let Some(agent) = pool.agents.get_mut(&id) else {
             return Vec::new();
         };
         let known = answers.into_iter().filter_map(|(number, answer)| {
             let sent = agent.open.remove(&number)?;
-            Some(Answered {
+            Some(OrderOutcome {
                 answer,
-                ..sent.without_answer()
+                ..sent.into_unanswered()
             })
         });
         known.collect()
     }
 
-    /// Gives up orders whose agent is stuck: stopped, frozen or behind a connection that fell
-    /// silent. The dispatcher would otherwise wait for them for ever.
-    pub(crate) fn expire(&self, now: Timestamp) -> Vec<Answered> {
+    /// Expires orders whose agent is stuck: stopped, hung, or behind a stalled connection.
+    /// Otherwise the dispatcher would wait for their answers forever.
+    pub(crate) fn expire(&self, now: Timestamp) -> Vec<OrderOutcome> {
         let mut pool = self.lock();
-        let mut given_up = Vec::new();
+        let mut expired = Vec::new();
         for agent in pool.agents.values_mut() {
             let late: Vec<_> = agent
                 .open
                 .iter()
-                .filter(|(_, sent)| sent.until < now)
+                .filter(|(_, sent)| sent.expires_at < now)
                 .map(|(number, _)| *number)
                 .collect();
             if late.is_empty() {
                 continue;
             }
-            agent.rests_until = now + REST;
-            given_up.extend(late.iter().filter_map(|n| agent.open.remove(n)));
+            agent.suspended_until = now + SUSPENSION;
+            expired.extend(late.iter().filter_map(|n| agent.open.remove(n)));
         }
-        given_up.into_iter().map(Sent::without_answer).collect()
+        expired
+            .into_iter()
+            .map(OpenOrder::into_unanswered)
+            .collect()
     }
 
-    /// Hands a question to whoever is expected to answer it first; false when there is nobody.
+    /// Sends a question to the agent with the shortest backlog; false when there is no agent.
     ///
-    /// The policy service takes one question of each machine at a time.
+    /// The policy service processes one question per host at a time, so questions queue at agents.
     pub fn ask(&self, question: AdviceQuestion) -> bool {
         let mut pool = self.lock();
         let Some(agent) = pool.agents.values_mut().min_by_key(|a| a.backlog) else {
@@ -189,8 +202,8 @@
         agent.tx.send(Down::Advise(question)).is_ok()
     }
 
-    /// Notes that a question is answered.
-    pub fn answered(&self, id: AgentId, question: QuestionId) {
+    /// Removes an answered question from the agent's backlog.
+    pub fn question_answered(&self, id: AgentId, question: QuestionId) {
         let mut pool = self.lock();
         let Some(agent) = pool.agents.get_mut(&id) else {
             return;
@@ -207,16 +220,16 @@
 }
 
 impl Pool {
-    /// The agent that calls a minion: among those in its zone, if there are any, the one with the
-    /// highest rank for it.
+    /// Chooses the agent for a minion by rendezvous hashing: the highest rank among the agents in
+    /// the minion's zone, or among all agents if that zone has none.
     ///
-    /// Ranks are drawn from the pair, so each agent that joins takes its share and no more. While
-    /// the first choice was kept, a new leader gave all of 350 minions to the eight agents that
-    /// found it first: 4,578 orders of the next ten seconds brought no answer in time, and of the
-    /// checks handed in during four of them one in four was done in time.
-    fn agent_of(&self, now: Timestamp, target: &Target) -> Option<AgentId> {
-        let fit = |agent: &&Agent| !agent.own && now >= agent.rests_until;
-        let all = self.agents.iter().filter(|(_, agent)| fit(agent));
+    /// Each agent that joins takes over its share of the minions and no more. A fixed assignment
+    /// instead made a new leader give all 350 minions to the eight agents that connected first:
+    /// 4,578 orders of the next ten seconds got no answer in time, and of the check jobs submitted
+    /// during four of those seconds, only one in four was done in time.
+    fn choose_agent(&self, now: Timestamp, target: &Target) -> Option<AgentId> {
+        let eligible = |agent: &&Agent| !agent.on_leader_host && now >= agent.suspended_until;
+        let all = self.agents.iter().filter(|(_, agent)| eligible(agent));
         let best = all.max_by_key(|(id, agent)| {
             let rank = rank(target.minion, **id);
             (agent.zone == target.zone, rank, **id)
@@ -225,17 +238,17 @@
     }
 }
 
-impl Sent {
-    fn without_answer(self) -> Answered {
-        Answered {
+impl OpenOrder {
+    fn into_unanswered(self) -> OrderOutcome {
+        OrderOutcome {
             minion: self.minion,
             order: self.order,
             sent: self.sent,
-            answer: self.unanswered,
+            answer: self.missing_answer,
         }
     }
 }
 
-/// Orders gathered for each agent.
+/// Orders collected for each agent, to be sent together.
 #[derive(Default)]
 pub struct Batches(BTreeMap<AgentId, Vec<(OrderNumber, Target, MinionOrder)>>);
--- a/src/batch/calls.rs
+++ b/src/batch/calls.rs
@@ -15,72 +15,73 @@
 use super::workspaces::KeyHash;
 use crate::ids::{MinionId, Term, ZoneName};
 
-/// When a caller may come back whose request cannot be served at the moment. A leader that is lost
-/// is replaced in about this time.
+/// Delay after which a caller should retry a request that cannot be served now. A failed leader is
+/// replaced in about this time.
 pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Number of a call on its connection.
+/// Number of a call, unique on its connection.
 pub type CallNumber = u64;
 
-/// What a caller wants of a queue or of a job in it.
+/// Operation on a queue or on a job in it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ClientAction {
-    /// Hands a job in.
+    /// Submits a job.
     Submit(Arc<JobSpec>),
-    /// Asks for its state.
+    /// Reads the state of a job.
     State,
-    /// Cancels it.
+    /// Cancels a job.
     Cancel,
-    /// Asks how many jobs of the queue have not begun.
+    /// Reads the number of jobs in the queue of which no task has started.
     Pending,
 }
 
 /// A caller's request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClientCall {
-    /// Host that the caller named.
+    /// Host of the request; selects the queue together with the path.
     pub host: CompactString,
-    /// Path of the request.
+    /// Path of the request: the queue's prefix and, for most actions, a job id.
     pub path: CompactString,
-    /// Hash of the key that came with it.
+    /// Hash of the API key in the request; `None` when it had none.
     pub key: Option<KeyHash>,
-    /// What it wants.
+    /// Requested operation.
     pub action: ClientAction,
 }
 
 /// Answer to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClientReply {
-    /// The job is stored, or its cancelling is.
+    /// The submission or the cancellation is committed.
     Accepted,
-    /// The job's state.
+    /// State of the job.
     State(JobState),
-    /// Jobs of the queue that have not begun.
+    /// Number of jobs in the queue of which no task has started.
     Pending(u64),
-    /// There is no such job.
+    /// The job does not exist, ended too long ago, or is not visible to the caller.
     Gone,
-    /// There is no such queue.
+    /// No queue matches the request, or the path has no valid job id.
     NoQueue,
-    /// The queue asks for a key, and the request has none that is in force.
+    /// The queue requires a key, and the request has no valid one.
     Unauthenticated,
-    /// The id is that of another job.
+    /// Another job already has this id.
     IdTaken,
-    /// The request makes no sense.
+    /// The request is malformed, for this reason.
     Invalid(CompactString),
-    /// Not accepted and never run; the caller may come back after this time.
+    /// Not accepted and guaranteed not to be executed; the caller may retry after this time.
     Unavailable(Duration),
-    /// It may or may not have been accepted.
+    /// The request may or may not have been accepted.
     InDoubt,
 }
 
 /// Answer to an operator or a minion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorReply {
-    /// Taken.
+    /// The configuration is committed, or was not newer than the one in force; or the minion's
+    /// message was received.
     Accepted,
-    /// The configuration in force.
+    /// Text of the configuration in force.
     Document(Bytes),
-    /// Nobody can be sure at this moment.
+    /// There is no configuration yet, or the outcome is not known; retry later.
     Unavailable,
 }
 
@@ -89,65 +90,65 @@
 pub enum Call {
     /// A caller's request.
     Client(ClientCall),
-    /// A minion's report.
+    /// A minion's periodic report.
     Report(Box<MinionReport>),
-    /// A minion ends.
+    /// A minion announces its exit.
     Left(MinionId),
-    /// An operator's configuration.
+    /// An operator replaces the configuration.
     PutConfig(ConfigOrder),
-    /// An operator's question for the configuration.
+    /// An operator reads the configuration.
     GetConfig,
 }
 
 /// Answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallReply {
-    /// To a caller.
+    /// Answer to `Call::Client`.
     Client(ClientReply),
-    /// To an operator or a minion.
+    /// Answer to every other call.
     Operator(OperatorReply),
-    /// Nothing was done: another replica leads.
+    /// Nothing was done: this replica does not lead. Address of the leader if known.
     NotLeader(Option<SocketAddr>),
 }
 
 /// Number of an order that an agent sends on the leader's behalf.
 pub type OrderNumber = u64;
 
-/// What flows towards control.
+/// Messages from entry hosts and followers to a control daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Up {
-    /// Sent first: the availability zone of this process.
+    /// Sent first by processes that act as agents: the availability zone of the process.
     Hello(ZoneName),
-    /// What came of orders.
-    Done(Vec<(OrderNumber, MinionAnswer)>),
-    /// A call.
+    /// Answers of minions to forwarded orders.
+    OrderAnswers(Vec<(OrderNumber, MinionAnswer)>),
+    /// A call to the leader.
     Call(CallNumber, Call),
-    /// Answer to a question that was passed on; `None` when none came.
-    Advised(QuestionId, Option<Advice>),
-    /// Asks whether the connection stands.
+    /// Answer to a forwarded question; `None` when the policy service gave none.
+    Advice(QuestionId, Option<Advice>),
+    /// Checks the connection; answered by a `Pong` with the same number.
     Ping(u64),
 }
 
-/// What flows back.
+/// Messages from a control daemon to entry hosts and followers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Down {
-    /// Sent first and when it changes: who leads, and all that serve calls.
+    /// Sent first and on every change: the leader and the members of the group.
     Lead {
-        /// Whether this replica leads.
-        here: bool,
-        /// Term of this replica.
+        /// Whether the sender leads.
+        is_leader: bool,
+        /// Current term of the sender.
         term: Term,
-        /// Where the leader answers calls.
+        /// Address at which the leader answers calls; `None` while there is no known leader.
         leader: Option<SocketAddr>,
-        /// Where the members answer calls.
+        /// Addresses at which the members answer calls.
         members: Vec<SocketAddr>,
     },
     /// Answer to a call.
     Reply(CallNumber, CallReply),
-    /// Orders to minions, to be sent on the leader's behalf.
+    /// Orders that the receiver forwards to minions.
     Orders(Vec<(OrderNumber, Target, MinionOrder)>),
-    /// A question for the policy service, asked on the leader's behalf.
+    /// A question that the receiver forwards to the policy service.
     Advise(AdviceQuestion),
-    /// Answer to a ping.
+    /// Answer to a ping, with its number.
     Pong(u64),
 }
--- a/src/batch/driver.rs
+++ b/src/batch/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out the dispatcher's orders: through agents, or directly while there are none.
+//! Executes the dispatcher's orders: through agents, or directly while none are connected.
 
 use std::future::Future;
 use std::time::Duration;
@@ -11,16 +11,16 @@
     Advice, AdviceQuestion, Answer, HoldAnswer, HoldOrder, MinionAnswer, MinionOrder, Order,
     StartOrder, Target,
 };
-use super::machine::{Answered, Machine};
+use super::machine::{Machine, OrderOutcome};
 use super::model::{RunNumber, TaskId};
 use super::telling::{count_note, write_note};
 use crate::ids::Term;
 use crate::replication::{ReplicaHandle, monotonic_now};
 
-/// Time between two looks for orders whose agent is stuck.
-const EXPIRE_EVERY: Duration = Duration::from_millis(200);
+/// Interval between checks for orders whose agent did not answer in time.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Calls to minions. A call is idempotent; one without an answer may be carried out late.
+/// Calls to minions. Calls are idempotent; one without an answer may still be executed later.
 pub trait Minions: Clone + Send + Sync + 'static {
     /// Starts a run.
     fn start(&self, to: &Target, order: &StartOrder) -> impl Future<Output = Answer> + Send;
@@ -32,17 +32,17 @@
         run: RunNumber,
         token: Term,
     ) -> impl Future<Output = Answer> + Send;
-    /// Renews the lease and asks for the lists.
+    /// Renews the lease and requests the lists of running and ended runs.
     fn hold(&self, to: &Target, order: &HoldOrder) -> impl Future<Output = HoldAnswer> + Send;
 }
 
-/// Questions to the policy service.
+/// Calls to the placement policy service.
 pub trait Policy: Clone + Send + Sync + 'static {
     /// Asks which minions may run a step; `None` when no answer came.
     fn advise(&self, question: &AdviceQuestion) -> impl Future<Output = Option<Advice>> + Send;
 }
 
-/// Sends one order to a minion and gives what came of it.
+/// Sends one order to a minion and returns its answer.
 pub async fn send_order(minions: &impl Minions, to: &Target, order: &MinionOrder) -> MinionAnswer {
     match order {
         MinionOrder::Start(order) => MinionAnswer::Order(minions.start(to, order).await),
@@ -53,7 +53,7 @@
     }
 }
 
-/// Runs until the machine's end of the channel is dropped.
+/// Executes orders until the sender of the channel, held by the state machine, is dropped.
 pub async fn run(
     mut orders: mpsc::UnboundedReceiver<Vec<Order>>,
     replica: ReplicaHandle<Machine>,
@@ -61,7 +61,7 @@
     agents: Agents,
     log: Logger,
 ) {
-    tokio::spawn(expire(agents.clone(), replica.clone()));
+    tokio::spawn(expire_orders(agents.clone(), replica.clone()));
     while let Some(mut batch) = orders.recv().await {
         while let Ok(more) = orders.try_recv() {
             batch.extend(more);
@@ -74,10 +74,10 @@
                     count_note(&note);
                     write_note(&log, &note);
                 }
-                Order::Advise(question) => ask(question, &agents, &replica),
+                Order::Advise(question) => forward_question(question, &agents, &replica),
                 Order::Minion(target, order) => {
-                    let back = agents.send(now, &mut batches, target, order);
-                    if let Some((target, order)) = back {
+                    let unsent = agents.send(now, &mut batches, target, order);
+                    if let Some((target, order)) = unsent {
                         send_directly(target, order, replica.clone(), minions.clone());
                     }
                 }
@@ -87,14 +87,16 @@
     }
 }
 
-fn ask(question: AdviceQuestion, agents: &Agents, replica: &ReplicaHandle<Machine>) {
+fn forward_question(question: AdviceQuestion, agents: &Agents, replica: &ReplicaHandle<Machine>) {
     let id = question.id;
     if agents.ask(question) {
         return;
     }
     let replica = replica.clone();
     tokio::spawn(async move {
-        replica.inform(move |m, now| m.advised(now, id, None)).await;
+        replica
+            .inform(move |m, now| m.advice_received(now, id, None))
+            .await;
     });
 }
 
@@ -107,25 +109,25 @@
     tokio::spawn(async move {
         let sent = monotonic_now();
         let answer = send_order(&minions, &target, &order).await;
-        let answered = Answered {
+        let outcome = OrderOutcome {
             minion: target.minion,
             order: order.kind(),
             sent,
             answer,
         };
         replica
-            .inform(move |m, now| m.answered(now, vec![answered]))
+            .inform(move |m, now| m.orders_answered(now, vec![outcome]))
             .await;
     });
 }
 
-async fn expire(agents: Agents, replica: ReplicaHandle<Machine>) {
+async fn expire_orders(agents: Agents, replica: ReplicaHandle<Machine>) {
     loop {
-        tokio::time::sleep(EXPIRE_EVERY).await;
-        let given_up = agents.expire(monotonic_now());
-        if !given_up.is_empty() {
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
+        let expired = agents.expire(monotonic_now());
+        if !expired.is_empty() {
             replica
-                .inform(move |m, now| m.answered(now, given_up))
+                .inform(move |m, now| m.orders_answered(now, expired))
                 .await;
         }
     }
--- a/src/batch/ledger/batch.rs
+++ b/src/batch/ledger/batch.rs
@@ -1,4 +1,4 @@
-//! What a leader decided and learned, as one entry of the log.
+//! The batch of decisions and observations that a leader proposes as one log entry.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,33 +7,34 @@
 };
 use crate::resources::Resources;
 
-/// Decisions and observations of a leader, in the order of the fields.
+/// Decisions and observations of a leader. They are applied in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Incarnations that joined, with the numbers they get.
+    /// New incarnations of minions, with the numbers that they are assigned.
     pub joined: Vec<(MinionNumber, MinionReport)>,
-    /// Incarnations whose capacity has changed.
+    /// Incarnations whose capacity changed, with the new capacity.
     pub resized: Vec<(MinionNumber, Resources)>,
-    /// Runs whose minions started again, with the numbers of the new incarnations.
+    /// Runs whose minions restarted under the same name, with the numbers of the new incarnations.
     pub moved: Vec<(TaskId, RunNumber, MinionNumber)>,
-    /// Incarnations that leave.
+    /// Incarnations that reported that they are draining.
     pub draining: Vec<MinionNumber>,
     /// Runs that ended.
     pub ends: Vec<End>,
-    /// Runs that may have crashed their minions.
+    /// Runs that may have crashed their minions, to be counted against their tasks.
     pub crashes: Vec<Crash>,
-    /// Tasks that have worked for so long that they did not cause the crashes counted for them.
+    /// Tasks whose crash counts are reset: they have run for so long that they cannot have caused
+    /// the crashes counted against them.
     pub cleared: Vec<TaskId>,
-    /// Incarnations that are gone and hold nothing.
+    /// Incarnations that are gone and have no active runs.
     pub gone: Vec<MinionNumber>,
-    /// Occurrences that are due.
+    /// Occurrences of scheduled jobs that are due.
     pub due: Vec<(JobId, u32)>,
-    /// Runs that may be started once this is agreed.
+    /// Runs to start. Their orders are sent only after this entry is committed.
     pub starts: Vec<Start>,
 }
 
 impl Batch {
-    /// Whether it changes nothing.
+    /// Whether applying it would change nothing.
     pub fn is_empty(&self) -> bool {
         self.joined.is_empty()
             && self.resized.is_empty()
@@ -48,43 +49,43 @@
     }
 }
 
-/// A run that is given to a minion.
+/// The assignment of a new run to a minion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
-    /// The task.
+    /// Task to run; it must be waiting.
     pub task: TaskId,
-    /// Its new run.
+    /// Number of the new run, higher than any earlier run of the task.
     pub run: RunNumber,
-    /// Who runs it.
+    /// Incarnation that runs it.
     pub minion: MinionNumber,
 }
 
-/// A run that has ended.
+/// The end of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// The task.
+    /// Task that the run belongs to.
     pub task: TaskId,
-    /// The run.
+    /// Run that ended; ignored unless it is the task's active run.
     pub run: RunNumber,
-    /// How.
+    /// How it ended.
     pub kind: EndKind,
-    /// Progress that can be carried on; empty when nothing new was saved.
+    /// Saved progress that the next run resumes from; empty when nothing new was saved.
     pub checkpoint: Checkpoint,
 }
 
-/// What is known of a minion that crashed and of a run it was given.
+/// How likely a run caused the crash of its minion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Certainty {
-    /// It had confirmed the start, and was down soon after.
+    /// The minion confirmed the start and crashed soon after.
     Begun,
-    /// It was told to start it, and was down soon after.
+    /// The start was sent but not confirmed, and the minion crashed soon after.
     InDoubt,
-    /// It was told to start it, and may have crashed long before or after.
+    /// The start was sent, and the minion may have crashed long before or after.
     Possible,
 }
 
 impl Certainty {
-    /// Name in logs.
+    /// Value in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Begun => "begun",
@@ -97,10 +98,10 @@
 /// A run that may have crashed its minion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The task.
+    /// Task that the crash is counted against.
     pub task: TaskId,
-    /// The run.
+    /// Its run that the minion was given.
     pub run: RunNumber,
-    /// What is known of it.
+    /// How likely the run caused the crash.
     pub certainty: Certainty,
 }
--- a/src/batch/ledger/commands.rs
+++ b/src/batch/ledger/commands.rs
@@ -1,4 +1,4 @@
-//! Commands: what changes the ledger.
+//! Commands that change the ledger, and how they are applied.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,61 +18,61 @@
 use crate::error::{Error, Result, Step};
 use crate::ids::{Timestamp, WorkspaceName};
 
-/// How long the end of a job is remembered. Callers may ask for at least two minutes, and a
-/// hand-in that was delayed on its way must find the job it repeats.
-const ENDED_KEPT: Duration = Duration::from_secs(600);
+/// How long an ended job is kept. Callers may query it for at least two minutes, and a submission
+/// that was delayed in the network must find the job that it repeats.
+const ENDED_RETENTION: Duration = Duration::from_secs(600);
 
 /// A change of the ledger.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Puts a configuration in force if its version is the highest.
+    /// Replaces the configuration if the version is higher than that of the one in force.
     PutConfig {
-        /// Its version.
+        /// Version that the operator chose.
         version: ConfigVersion,
-        /// The operator's text.
+        /// The operator's original text, returned unchanged to readers.
         document: Bytes,
-        /// Its meaning.
+        /// Parsed form of `document`.
         parsed: Arc<Configuration>,
     },
-    /// Takes a job in; one that is known stays as it is.
+    /// Accepts a job. A job that already exists is left unchanged.
     Submit {
-        /// Its id.
+        /// Id that the caller chose.
         job: JobId,
-        /// Its queue.
+        /// Its queue as configured when it was submitted.
         queue: Arc<Queue>,
-        /// Workspace that hands it in; `None` on a queue that is open to all.
+        /// Workspace that submits it; `None` on a public queue.
         owner: Option<WorkspaceName>,
-        /// What it declares.
+        /// The job as declared by the caller.
         spec: Arc<JobSpec>,
     },
-    /// Cancels a job.
+    /// Cancels a job. A job that has ended is left unchanged.
     Cancel {
-        /// Which.
+        /// Id of the job.
         job: JobId,
     },
-    /// What a leader decided and learned.
+    /// Decisions and observations of a leader.
     Batch(Batch),
 }
 
-/// What a command led to.
+/// Result of applying a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// It is in force, or was already.
+    /// The command took effect, or had done so before.
     Accepted,
-    /// There is no such job.
+    /// No job has this id, or the command could not be decoded.
     Unknown,
-    /// The id is that of another job.
+    /// Another job already has this id.
     IdTaken,
 }
 
 impl Command {
-    /// Encodes it for the log, led by the version of the format.
+    /// Encodes the command for the log, prefixed with the format version.
     pub fn to_bytes(&self) -> Result<Vec<u8>> {
         postcard::to_allocvec(&(FORMAT_VERSION, self))
             .map_err(|e| Error::caused(Step::Codec, "encoding a command", e))
     }
 
-    /// Decodes it.
+    /// Decodes a command of the current format or of format 2.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self> {
         let (version, rest): (u16, &[u8]) = postcard::take_from_bytes(bytes)
             .map_err(|e| Error::caused(Step::Codec, "decoding a command", e))?;
@@ -86,10 +86,10 @@
 }
 
 impl Ledger {
-    /// Applies an agreed command. `at` is the leader's Unix time and never goes back.
+    /// Applies a committed command. `at` is the leader's Unix time and never decreases.
     pub fn apply(&mut self, at: Timestamp, command: &Command) -> Reply {
         self.clock = at;
-        self.forget_ended();
+        self.remove_expired_jobs();
         match command {
             Command::PutConfig {
                 version,
@@ -113,9 +113,9 @@
         document: &Bytes,
         parsed: &Arc<Configuration>,
     ) -> Reply {
-        // An equal or lower version is acknowledged and changes nothing: the same order sent
-        // again after a lost answer must not be refused, and other content under a version that
-        // is held must never come into force.
+        // An equal or lower version is acknowledged and ignored: a request repeated after a lost
+        // response must not be refused, and different content under the current version must
+        // never take effect.
         if self.is_newer(version) {
             let workspaces = self.workspaces();
             let before = workspaces
@@ -126,14 +126,14 @@
                 document: document.clone(),
                 parsed: Arc::clone(parsed),
             });
-            self.keep_removed(before);
+            self.retain_removed_workspaces(before);
         }
         Reply::Accepted
     }
 
-    /// Keeps workspaces that are gone while they have open jobs: without its limit, the work of one
-    /// could take the whole cell.
-    fn keep_removed(&mut self, mut before: BTreeMap<WorkspaceName, Workspace>) {
+    /// Keeps workspaces that the configuration no longer declares while they have jobs that run or
+    /// may start. Without the limit, the jobs of a removed workspace could fill the whole cell.
+    fn retain_removed_workspaces(&mut self, mut before: BTreeMap<WorkspaceName, Workspace>) {
         let declared = self.config.as_ref();
         let declared = declared.and_then(|config| config.parsed.workspaces.as_ref());
         before.retain(|name, _| declared.is_none_or(|w| !w.by_name.contains_key(name)));
@@ -151,7 +151,7 @@
         spec: &Arc<JobSpec>,
     ) -> Reply {
         if let Some(held) = self.jobs.get(&id) {
-            return if held.is_repeated_by(queue, owner.as_ref()) {
+            return if held.is_duplicate(queue, owner.as_ref()) {
                 Reply::Accepted
             } else {
                 Reply::IdTaken
@@ -168,7 +168,7 @@
             return Reply::Unknown;
         };
         if !job.state.is_final() {
-            self.finish(id, JobState::Canceled);
+            self.finish_job(id, JobState::Canceled);
         }
         Reply::Accepted
     }
@@ -188,7 +188,7 @@
             }
         }
         for (task, run, number) in &batch.moved {
-            self.move_run(*task, *run, *number);
+            self.reassign_run(*task, *run, *number);
         }
         for number in &batch.draining {
             if let Some(minion) = self.minions.get_mut(number) {
@@ -196,13 +196,13 @@
             }
         }
         for end in &batch.ends {
-            self.end(end);
+            self.end_run(end);
         }
         for crash in &batch.crashes {
-            self.crash(crash);
+            self.count_crash(crash);
         }
         for task in &batch.cleared {
-            self.clear(*task);
+            self.reset_crashes(*task);
         }
         for number in &batch.gone {
             self.minions.remove(number);
@@ -213,12 +213,12 @@
             }
         }
         for start in &batch.starts {
-            self.start(start);
+            self.start_run(start);
         }
         Reply::Accepted
     }
 
-    fn move_run(&mut self, id: TaskId, run: RunNumber, number: MinionNumber) {
+    fn reassign_run(&mut self, id: TaskId, run: RunNumber, number: MinionNumber) {
         if let Some(task) = self.task_mut(id)
             && task.is_active_run(run)
         {
@@ -226,7 +226,7 @@
         }
     }
 
-    fn start(&mut self, start: &Start) {
+    fn start_run(&mut self, start: &Start) {
         let id = start.task.step.job;
         let Some(job) = self.jobs.get_mut(&id).filter(|j| !j.state.is_final()) else {
             return;
@@ -242,12 +242,12 @@
         }
     }
 
-    fn end(&mut self, end: &End) {
+    fn end_run(&mut self, end: &End) {
         let id = end.task.step.job;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let final_already = job.state.is_final();
+        let job_ended = job.state.is_final();
         let attempts = job.queue.attempts;
         let Some(spec) = job.spec.steps.get(usize::from(end.task.step.step)) else {
             return;
@@ -263,21 +263,21 @@
             return;
         }
         task.state = TaskState::Waiting;
-        if final_already {
+        if job_ended {
             return;
         }
         if !end.checkpoint.is_empty() {
             task.checkpoint = end.checkpoint.clone();
         }
         if grouping == Grouping::Gang && !end.checkpoint.is_empty() {
-            // Progress of any member is progress of the whole gang.
+            // A checkpoint of any member covers the whole gang.
             for member in &mut step.tasks {
                 member.checkpoint = end.checkpoint.clone();
             }
         }
         match end.kind {
             EndKind::Done if lifetime == Lifetime::Finite => {
-                self.task_done(end, grouping);
+                self.mark_done(end, grouping);
             }
             EndKind::Failed if lifetime == Lifetime::Finite => {
                 let task = &mut step.tasks[end.task.index as usize];
@@ -287,16 +287,17 @@
                     failures = step.tasks.iter().map(|t| t.failures).sum();
                 }
                 if failures >= attempts {
-                    self.finish(id, JobState::Failed);
+                    self.finish_job(id, JobState::Failed);
                 }
             }
             _ => {}
         }
     }
 
-    /// Counts a crash. A task that crashes every minion that starts it would take one after the other
-    /// out of service, with all that runs there.
-    fn crash(&mut self, crash: &Crash) {
+    /// Counts a crash against a task and fails the job after too many. Otherwise a task that
+    /// crashes every minion that starts it would take down one minion after another, with all their
+    /// runs.
+    fn count_crash(&mut self, crash: &Crash) {
         let id = crash.task.step.job;
         let Some(job) = self.jobs.get_mut(&id).filter(|j| !j.state.is_final()) else {
             return;
@@ -305,18 +306,18 @@
             return;
         };
         task.crashes.count(crash.certainty);
-        if task.crashes.are_too_many() {
-            self.finish(id, JobState::Failed);
+        if task.crashes.exceed_limit() {
+            self.finish_job(id, JobState::Failed);
         }
     }
 
-    fn clear(&mut self, id: TaskId) {
+    fn reset_crashes(&mut self, id: TaskId) {
         if let Some(task) = self.task_mut(id) {
             task.crashes = Default::default();
         }
     }
 
-    fn task_done(&mut self, end: &End, grouping: Grouping) {
+    fn mark_done(&mut self, end: &End, grouping: Grouping) {
         let id = end.task.step.job;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -325,7 +326,7 @@
             return;
         };
         if grouping == Grouping::Gang {
-            // A gang ends together; the end of one member stands for all of them.
+            // The members of a gang finish_job together, so the end of one applies to all.
             for member in &mut step.tasks {
                 if member.state != TaskState::Done && member.run == end.run {
                     member.state = TaskState::Done;
@@ -343,13 +344,13 @@
             .is_some_and(|o| o.steps.iter().all(|s| s.open == 0));
         if all_done {
             job.occurrences.remove(&occurrence);
-            if job.occurrences.is_empty() && job.begun >= job.occurrences_wanted() {
-                self.finish(id, JobState::Done);
+            if job.occurrences.is_empty() && job.begun >= job.total_occurrences() {
+                self.finish_job(id, JobState::Done);
             }
         }
     }
 
-    fn finish(&mut self, id: JobId, state: JobState) {
+    fn finish_job(&mut self, id: JobId, state: JobState) {
         self.unstarted.remove(&id);
         self.ended.push_back((self.clock, id));
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -360,10 +361,11 @@
         spec.payload = Default::default();
     }
 
-    /// Forgets jobs that ended long ago and hold no run.
-    fn forget_ended(&mut self) {
+    /// Removes jobs that ended longer than `ENDED_RETENTION` ago. One that still has active runs is
+    /// checked again later.
+    fn remove_expired_jobs(&mut self) {
         while let Some((at, id)) = self.ended.front().copied()
-            && self.clock > at + ENDED_KEPT
+            && self.clock > at + ENDED_RETENTION
         {
             self.ended.pop_front();
             if self
--- a/src/batch/ledger/format_2.rs
+++ b/src/batch/ledger/format_2.rs
@@ -1,4 +1,6 @@
-//! Format 2 of snapshots and commands, which knew no workspaces. It is read and never written.
+//! Format 2 of snapshots and commands, from before workspaces existed. Read, never written.
+//!
+//! The types here are as they were encoded then; only those that changed since are repeated.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -15,10 +17,10 @@
 };
 use crate::ids::{ServiceName, Timestamp};
 
-/// Number of this format.
+/// Version that prefixes data of this format.
 pub(super) const VERSION: u16 = 2;
 
-/// The whole state.
+/// The ledger without `removed`.
 #[derive(Deserialize)]
 pub(super) struct Ledger {
     clock: Timestamp,
@@ -30,7 +32,7 @@
     ended: VecDeque<(Timestamp, JobId)>,
 }
 
-/// A change.
+/// A command whose submissions have no owner.
 #[derive(Deserialize)]
 pub(super) enum Command {
     PutConfig {
--- a/src/batch/ledger/mod.rs
+++ b/src/batch/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! The replicated state: configuration, jobs, tasks and the minions that runs were given to.
+//! The replicated state: the configuration, jobs, tasks and the minions that run them.
 //!
 //! Deterministic: the same commands in the same order give the same ledger on every replica.
 
@@ -23,46 +23,48 @@
 pub use commands::{Command, Reply};
 pub use records::{Crashes, Job, MinionRecord, Occurrence, StepRecord, TaskRecord, TaskState};
 
-/// Version of the snapshot and of the commands; another one is refused by number.
+/// Version of the encoding of snapshots and commands. Only this one and format 2 can be read.
 pub const FORMAT_VERSION: u16 = 3;
 
-/// The configuration in force, as sent and as understood.
+/// The configuration in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredConfig {
-    /// Its version.
+    /// Version that the operator chose.
     pub version: ConfigVersion,
-    /// The operator's own text, given back unchanged to readers.
+    /// The operator's original text, returned unchanged to readers.
     pub document: Bytes,
-    /// Its meaning.
+    /// Parsed form of `document`.
     pub parsed: Arc<Configuration>,
 }
 
-/// All that must survive.
+/// The state that is replicated and written to snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Unix time of the last command.
+    /// Leader's Unix time at the last command.
     pub(crate) clock: Timestamp,
     pub(crate) config: Option<StoredConfig>,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     /// Open jobs of which no task has started.
     pub(crate) unstarted: BTreeSet<JobId>,
-    /// Incarnations that may hold runs, and those that can be given some.
+    /// Incarnations that may have active runs or can be given new ones.
     pub(crate) minions: BTreeMap<MinionNumber, MinionRecord>,
     pub(crate) next_minion: MinionNumber,
-    /// Jobs that have ended, oldest first.
+    /// Ended jobs with the time of their end, oldest first. They are removed after a retention
+    /// time.
     pub(crate) ended: std::collections::VecDeque<(Timestamp, JobId)>,
-    /// Workspaces that the configuration names no more and that have open jobs, as they were.
+    /// Workspaces that the configuration no longer declares but that still have open jobs, as last
+    /// declared.
     pub(crate) removed: BTreeMap<WorkspaceName, Workspace>,
 }
 
 impl Ledger {
-    /// Writes the whole ledger, led by the version of its format.
+    /// Encodes the ledger as a snapshot, prefixed with the format version.
     pub fn to_bytes(&self) -> Result<Vec<u8>> {
         postcard::to_allocvec(&(FORMAT_VERSION, self))
             .map_err(|e| Error::caused(Step::Codec, "writing a snapshot", e))
     }
 
-    /// Reads a whole ledger.
+    /// Decodes a snapshot of the current format or of format 2.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self> {
         let (version, rest): (u16, &[u8]) = postcard::take_from_bytes(bytes)
             .map_err(|e| Error::caused(Step::Codec, "reading a snapshot", e))?;
@@ -74,7 +76,7 @@
         read.map_err(|e| Error::caused(Step::Codec, "reading a snapshot", e))
     }
 
-    /// Number of a minion's incarnation, if it is known.
+    /// Lowest number of an incarnation with this name; `None` if there is none.
     pub fn minion_number(&self, id: &MinionId) -> Option<MinionNumber> {
         let mut known = self.minions.iter();
         known.find(|(_, m)| m.report.id == *id).map(|(n, _)| *n)
--- a/src/batch/ledger/queries.rs
+++ b/src/batch/ledger/queries.rs
@@ -1,4 +1,4 @@
-//! Queries: what is read from the ledger.
+//! Read-only queries on the ledger.
 
 use super::records::{Occurrence, StepRecord, TaskRecord, TaskState};
 use super::{Job, Ledger};
@@ -9,9 +9,9 @@
 use crate::ids::WorkspaceName;
 
 impl Job {
-    /// Whether a hand-in of its id is a repetition of it. The queue may have become open to all, or
-    /// ceased to be, between the two.
-    pub(super) fn is_repeated_by(&self, queue: &Queue, owner: Option<&WorkspaceName>) -> bool {
+    /// Whether a submission under its id repeats this job. A missing owner matches any: the queue
+    /// may have become public, or ceased to be, between the two submissions.
+    pub(super) fn is_duplicate(&self, queue: &Queue, owner: Option<&WorkspaceName>) -> bool {
         let same_owner = match (&self.owner, owner) {
             (Some(held), Some(owner)) => held == owner,
             _ => true,
@@ -19,12 +19,12 @@
         self.is_in(queue) && same_owner
     }
 
-    /// Whether it was handed in to a queue.
+    /// Whether it was submitted to this queue; queues are identified by host and path prefix.
     pub(crate) fn is_in(&self, queue: &Queue) -> bool {
         self.queue.host == queue.host && self.queue.prefix == queue.prefix
     }
 
-    /// Whether anything of it runs or may start.
+    /// Whether it has active runs or may start more.
     pub(super) fn may_run(&self) -> bool {
         !self.state.is_final() || self.active().next().is_some()
     }
@@ -38,14 +38,14 @@
         self.step_mut(task)?.tasks.get_mut(task.index as usize)
     }
 
-    /// Looks a task up.
+    /// Record of one of its tasks; `None` if its occurrence is not due yet or is done.
     pub fn task(&self, task: TaskId) -> Option<&TaskRecord> {
         let occurrence = self.occurrences.get(&task.step.occurrence)?;
         let step = occurrence.steps.get(usize::from(task.step.step))?;
         step.tasks.get(task.index as usize)
     }
 
-    /// Runs that may be under way, with the minion that has each.
+    /// Active tasks: occurrence, step, index, record, and the minion that the run was given to.
     pub fn active(&self) -> impl Iterator<Item = (u32, u16, u32, &TaskRecord, MinionNumber)> + '_ {
         self.occurrences.iter().flat_map(|(k, occurrence)| {
             let steps = occurrence.steps.iter().enumerate();
@@ -61,7 +61,7 @@
 }
 
 impl Ledger {
-    /// A workspace of the configuration, or one that it names no more and that has open jobs.
+    /// A workspace of the configuration, or a removed one that still has open jobs.
     pub fn workspace(&self, name: &WorkspaceName) -> Option<&Workspace> {
         let declared = self.config.as_ref();
         let declared = declared.and_then(|config| config.parsed.workspaces.as_ref());
@@ -69,8 +69,8 @@
         declared.or_else(|| self.removed.get(name))
     }
 
-    /// Workspaces with a limit to keep: those of the configuration, and those that it names no more
-    /// while they have open jobs.
+    /// Workspaces whose limits apply: those of the configuration, and removed ones that still have
+    /// open jobs.
     pub fn workspaces(&self) -> impl Iterator<Item = (&WorkspaceName, &Workspace)> {
         let declared = self.config.as_ref();
         let declared = declared.and_then(|config| config.parsed.workspaces.as_ref());
@@ -78,18 +78,18 @@
         self.removed.iter().chain(declared)
     }
 
-    /// Whether a configuration of this version would come in force.
+    /// Whether a configuration of this version would take effect.
     pub fn is_newer(&self, version: ConfigVersion) -> bool {
         let held = self.config.as_ref();
         held.is_none_or(|held| version > held.version)
     }
 
-    /// A job's state; `None` when no such job is known.
+    /// State of a job; `None` if it does not exist or ended too long ago.
     pub fn job_state(&self, id: JobId) -> Option<JobState> {
         self.jobs.get(&id).map(|job| job.state)
     }
 
-    /// Accepted jobs of a queue of which no task has started.
+    /// Number of accepted jobs of a queue of which no task has started.
     pub fn pending(&self, host: &str, prefix: &str) -> usize {
         let of_queue = |id: &&JobId| {
             self.jobs
@@ -106,7 +106,7 @@
         latest.map(|(_, id)| *id)
     }
 
-    /// Looks a task up.
+    /// Record of a task; `None` if its job or its occurrence is not in the ledger.
     pub fn task(&self, id: TaskId) -> Option<&TaskRecord> {
         self.jobs.get(&id.step.job)?.task(id)
     }
@@ -115,25 +115,25 @@
         self.jobs.get_mut(&id.step.job)?.task_mut(id)
     }
 
-    /// Steps whose turn has come and that are not done, of open jobs.
+    /// Unfinished steps of an open job whose dependencies are done.
     pub fn ready_steps(&self, id: JobId) -> Vec<StepId> {
         self.steps_where(id, |occurrence, s, spec| {
             occurrence.steps[s].open > 0 && occurrence.is_ready(spec)
         })
     }
 
-    /// Steps that wait only for tasks which are all under way, of an open job.
+    /// Steps of an open job whose dependencies are not all done, but have all their tasks started.
     pub fn coming_steps(&self, id: JobId) -> Vec<StepId> {
         self.steps_where(id, |occurrence, _, spec| {
-            !occurrence.is_ready(spec) && occurrence.is_coming(spec)
+            !occurrence.is_ready(spec) && occurrence.has_started_dependencies(spec)
         })
     }
 
-    /// Steps of an open job, by their occurrence, position and declaration.
+    /// Steps of an open job that satisfy a predicate over occurrence, position and declaration.
     fn steps_where(
         &self,
         id: JobId,
-        wanted: impl Fn(&Occurrence, usize, &StepSpec) -> bool,
+        predicate: impl Fn(&Occurrence, usize, &StepSpec) -> bool,
     ) -> Vec<StepId> {
         let Some(job) = self.jobs.get(&id).filter(|job| !job.state.is_final()) else {
             return Vec::new();
@@ -141,7 +141,7 @@
         let mut steps = Vec::new();
         for (k, occurrence) in &job.occurrences {
             for (s, spec) in job.spec.steps.iter().enumerate() {
-                if wanted(occurrence, s, spec) {
+                if predicate(occurrence, s, spec) {
                     steps.push(StepId {
                         job: id,
                         occurrence: *k,
--- a/src/batch/ledger/records.rs
+++ b/src/batch/ledger/records.rs
@@ -1,4 +1,4 @@
-//! Records of the ledger.
+//! Records of jobs, tasks and minions in the ledger.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,97 +11,97 @@
 };
 use crate::ids::{Timestamp, WorkspaceName};
 
-/// Minions that may crash soon after they have begun a task.
+/// Crashes soon after a confirmed start of a task that fail its job.
 const MAX_CRASHES: u32 = 2;
-/// The same where it is not known of each that it had begun the task.
+/// The same limit when crashes after unconfirmed starts are included.
 const MAX_CRASHES_IN_DOUBT: u32 = 3;
-/// The same where some of them may have crashed for another reason.
+/// The same limit when crashes that may have another cause are included too.
 const MAX_CRASHES_POSSIBLE: u32 = 4;
 
-/// A job and how far it has come.
+/// A job and its progress.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// What was declared; its payload is dropped once the job has ended.
+    /// The declaration; its payload is dropped when the job ends.
     pub spec: Arc<JobSpec>,
-    /// Its queue as configured when it was handed in.
+    /// Its queue as configured when the job was submitted.
     pub queue: Arc<Queue>,
-    /// Workspace that handed it in; `None` on a queue that is open to all.
+    /// Workspace that submitted it; `None` on a public queue.
     pub owner: Option<WorkspaceName>,
     /// Unix time at which it was accepted.
     pub accepted: Timestamp,
-    /// Its state.
+    /// State as callers see it.
     pub state: JobState,
-    /// Occurrences that are due and not done.
+    /// Occurrences that are due and not done, by number.
     pub occurrences: BTreeMap<u32, Occurrence>,
-    /// Occurrences begun so far.
+    /// Number of occurrences that have become due so far.
     pub begun: u32,
 }
 
 /// One repetition of a job's steps.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Occurrence {
-    /// One record a step.
+    /// One record per step, in the order of the declaration.
     pub steps: Vec<StepRecord>,
 }
 
-/// The tasks of a step.
+/// State of a step's tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StepRecord {
-    /// One record a task.
+    /// One record per task, by index.
     pub tasks: Vec<TaskRecord>,
-    /// Tasks not done.
+    /// Number of tasks that are not done.
     pub open: u32,
 }
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Not running.
+    /// No run is active: before the first run, or after one that must be repeated.
     #[default]
     Waiting,
-    /// Its latest run was given to this minion and is not known to have ended.
+    /// The latest run was given to this minion and is not known to have ended.
     Active(MinionNumber),
-    /// Done.
+    /// A run ended as done.
     Done,
 }
 
-/// One task.
+/// One task of a step.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRecord {
-    /// Where it stands.
+    /// Whether it waits, runs or is done.
     pub state: TaskState,
     /// Number of its latest run; 0 before the first.
     pub run: RunNumber,
-    /// Runs that ended as failed.
+    /// Number of runs that ended as failed.
     pub failures: u32,
-    /// Minions that crashed under it.
+    /// Crashes of minions that it may have caused.
     pub crashes: Crashes,
-    /// Newest saved progress.
+    /// Latest saved progress; empty when there is none.
     pub checkpoint: Checkpoint,
 }
 
-/// Crashes of minions that a task may have caused, by what is known of each.
+/// Number of minion crashes that a task may have caused, by how likely it caused them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crashes {
-    /// The minion had begun the task, and was down soon after.
+    /// The minion confirmed the start and crashed soon after.
     pub begun: u32,
-    /// It was told to start the task, and was down soon after.
+    /// The start was sent but not confirmed, and the minion crashed soon after.
     pub in_doubt: u32,
-    /// It was told to start the task, and may have crashed long before or after.
+    /// The start was sent, and the minion may have crashed long before or after.
     pub possible: u32,
 }
 
 /// One incarnation of a minion.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MinionRecord {
-    /// What it said of itself when it joined, with the capacity that it has now.
+    /// Its report on joining, with the capacity kept up to date.
     pub report: MinionReport,
-    /// Whether it has said that it leaves.
+    /// Whether it has reported that it is draining.
     pub draining: bool,
 }
 
 impl Job {
-    /// A job nobody has begun.
+    /// A queued job. Without a timetable, its only occurrence is due at once.
     pub(super) fn new(
         spec: Arc<JobSpec>,
         queue: Arc<Queue>,
@@ -123,7 +123,7 @@
         job
     }
 
-    /// Makes the records of an occurrence that is due.
+    /// Creates the records of an occurrence that is due; ignored unless it is the next one.
     pub(super) fn begin(&mut self, occurrence: u32) {
         if occurrence != self.begun {
             return;
@@ -133,8 +133,8 @@
         self.occurrences.insert(occurrence, Occurrence { steps });
     }
 
-    /// Number of occurrences in all.
-    pub fn occurrences_wanted(&self) -> u32 {
+    /// Number of occurrences over the whole life of the job.
+    pub fn total_occurrences(&self) -> u32 {
         self.spec.timetable.map_or(1, |t| t.occurrences)
     }
 }
@@ -149,14 +149,14 @@
 }
 
 impl TaskRecord {
-    /// Whether this run was given to a minion and is not known to have ended.
+    /// Whether this is the latest run and is not known to have ended.
     pub fn is_active_run(&self, run: RunNumber) -> bool {
         matches!(self.state, TaskState::Active(_)) && self.run == run
     }
 }
 
 impl Crashes {
-    /// Counts one more.
+    /// Counts one crash.
     pub(super) fn count(&mut self, certainty: Certainty) {
         match certainty {
             Certainty::Begun => self.begun += 1,
@@ -165,13 +165,13 @@
         }
     }
 
-    /// Whether the task may have caused any.
+    /// Whether the task may have caused any crash.
     pub fn are_suspect(&self) -> bool {
         self.begun + self.in_doubt + self.possible > 0
     }
 
-    /// Whether there are so many that the task is not started again.
-    pub(super) fn are_too_many(&self) -> bool {
+    /// Whether there are so many that the task must not start again.
+    pub(super) fn exceed_limit(&self) -> bool {
         let in_doubt = self.begun + self.in_doubt;
         self.begun >= MAX_CRASHES
             || in_doubt >= MAX_CRASHES_IN_DOUBT
@@ -180,18 +180,18 @@
 }
 
 impl Occurrence {
-    /// Whether all steps that this one waits for are done.
+    /// Whether all dependencies of this step are done.
     pub fn is_ready(&self, spec: &StepSpec) -> bool {
-        self.all_before(spec, |step| step.open == 0)
+        self.all_dependencies(spec, |step| step.open == 0)
     }
 
-    /// Whether every task of the steps that this one waits for has been started or is done.
-    pub fn is_coming(&self, spec: &StepSpec) -> bool {
-        let begun = |task: &TaskRecord| task.state != TaskState::Waiting;
-        self.all_before(spec, |step| step.tasks.iter().all(begun))
+    /// Whether every task of this step's dependencies runs or is done.
+    pub fn has_started_dependencies(&self, spec: &StepSpec) -> bool {
+        let started = |task: &TaskRecord| task.state != TaskState::Waiting;
+        self.all_dependencies(spec, |step| step.tasks.iter().all(started))
     }
 
-    fn all_before(&self, spec: &StepSpec, holds: impl Fn(&StepRecord) -> bool) -> bool {
+    fn all_dependencies(&self, spec: &StepSpec, holds: impl Fn(&StepRecord) -> bool) -> bool {
         let step = |number: &u16| self.steps.get(usize::from(*number));
         spec.after.iter().all(|s| step(s).is_some_and(&holds))
     }
--- a/src/batch/link.rs
+++ b/src/batch/link.rs
@@ -1,5 +1,5 @@
-//! The way to the leader, from entry hosts and from followers: one kept connection, found anew
-//! whenever it breaks, falls silent, or its far end ceases to lead.
+//! The connection of entry hosts and followers to the leader. It is reestablished whenever it
+//! breaks, its peer stops answering, or its peer no longer leads.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,67 +13,68 @@
 use super::calls::{Call, CallNumber, CallReply, Down, OrderNumber, RETRY_AFTER, Up};
 use super::dispatch::MinionAnswer;
 use super::driver::{Minions, Policy, send_order};
-use super::watch::{Elected, Members, watch};
+use super::watch::{ElectedLeader, Members, watch_elections};
 use crate::error::{Error, Result, Step};
 use crate::ids::{Term, ZoneName};
 use crate::task::AbortOnDrop;
 use crate::wire::{self, CellKeys, FrameReader, FrameWriter};
 
-/// Time for a connection to be opened, proved and greeted, in the first round over all addresses:
-/// several round trips within a region. A peer that is cut off costs no more than this.
+/// Timeout for opening and authenticating a connection and receiving the first message, in the
+/// first pass over all addresses: several round trips within a region. An unreachable peer delays
+/// the search by no more than this.
 const FIRST_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// The same in later rounds, with room for slowed machines.
+/// The same timeout in later passes, with room for slow hosts.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause after all known addresses were tried in vain.
-const ROUND_PAUSE: Duration = Duration::from_millis(60);
-/// Silence of the far end, while an answer is due, after which it is asked for a sign of life.
-const QUIET: Duration = Duration::from_millis(350);
-/// Silence on an idle connection after which it is.
-const QUIET_IDLE: Duration = Duration::from_millis(1500);
-/// Time for that sign.
+/// Delay after a pass over all known addresses that found no leader.
+const PASS_DELAY: Duration = Duration::from_millis(60);
+/// Time without messages after which the peer is pinged while calls await answers.
+const PING_AFTER: Duration = Duration::from_millis(350);
+/// Time without messages after which the peer is pinged on an idle connection.
+const PING_AFTER_IDLE: Duration = Duration::from_millis(1500);
+/// Time to wait for the answer to a ping.
 const PONG_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long a call waits for a leader to be found, counted from when the last one was lost: nearly
-/// all changes of leader are over by then. Later calls are refused at once, as they would wait in
-/// vain while their callers could be told to come back.
+/// How long calls wait for a new leader, counted from the loss of the last one: nearly all leader
+/// changes complete within this time. Later calls are refused immediately: waiting would likely be
+/// useless, and their callers can be asked to retry instead.
 const LEADER_WAIT: Duration = Duration::from_secs(1);
-/// Longest time after which a caller is told to come back; the longest outages of all control
-/// hosts at once are about twice as long.
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
+/// Maximum retry delay given to callers; the longest simultaneous outages of all control hosts last
+/// about twice as long.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// How long a call may wait for a leader when there has been none for `absent`.
+/// Time for which a call may wait for a leader after there has been none for `absent`.
 pub fn leader_wait(absent: Duration) -> Duration {
     LEADER_WAIT.saturating_sub(absent)
 }
 
-/// When a caller should come back that found no leader for `absent`: an outage that has lasted for
-/// some time will last about as long again. A caller that is told to come back each second uses up
-/// its tries before an outage of four seconds is over.
+/// Retry delay for a caller after there has been no leader for `absent`. An outage that has lasted
+/// for some time is expected to last about as long again; with a delay of one second, callers would
+/// use up their retries before an outage of four seconds ends.
 pub fn retry_after(absent: Duration) -> Duration {
-    absent.clamp(RETRY_AFTER, LONGEST_RETRY)
+    absent.clamp(RETRY_AFTER, MAX_RETRY_AFTER)
 }
 
-/// Why a call has no answer.
+/// Reason why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoAnswer {
-    /// It was never sent.
+    /// The call was never sent.
     NotSent,
-    /// It was sent; it may have been carried out.
+    /// The call was sent and may have been executed.
     InDoubt,
 }
 
-/// What this process can do for a leader.
+/// What this process needs to act as an agent of the leader.
 #[derive(Clone)]
 pub struct Calls<M, P> {
-    /// Calls to minions.
+    /// Client for calls to minions.
     pub minions: M,
-    /// Questions to the policy service.
+    /// Client for questions to the policy service.
     pub policy: P,
-    /// Its availability zone.
+    /// Availability zone of this process.
     pub zone: ZoneName,
 }
 
-struct Outgoing {
+struct PendingCall {
     call: Call,
     reply: oneshot::Sender<CallReply>,
 }
@@ -81,14 +82,14 @@
 /// Handle for calls to the leader; cheap to clone.
 #[derive(Clone)]
 pub struct LeaderLink {
-    current: watch::Receiver<Option<mpsc::UnboundedSender<Outgoing>>>,
+    current: watch::Receiver<Option<mpsc::UnboundedSender<PendingCall>>>,
     seeds: Arc<Mutex<Vec<SocketAddr>>>,
-    /// When the last leader was lost; at first when the search began.
-    lost: Arc<Mutex<Instant>>,
+    /// When the last leader was lost; before the first one is found, when the search began.
+    lost_at: Arc<Mutex<Instant>>,
 }
 
 impl LeaderLink {
-    /// Starts looking for the leader among the seeds.
+    /// Starts searching for the leader, from the seed addresses.
     pub fn start(
         seeds: Vec<SocketAddr>,
         keys: CellKeys,
@@ -97,54 +98,55 @@
     ) -> Self {
         let (tx, current) = watch::channel(None);
         let seeds = Arc::new(Mutex::new(seeds));
-        let lost = Arc::new(Mutex::new(Instant::now()));
+        let lost_at = Arc::new(Mutex::new(Instant::now()));
         let (members, known_members) = watch::channel(Members::default());
         let (elected_tx, elected) = watch::channel(None);
-        tokio::spawn(watch(known_members, keys.clone(), elected_tx));
-        let search = Search {
+        tokio::spawn(watch_elections(known_members, keys.clone(), elected_tx));
+        let search = LeaderSearch {
             seeds: Arc::clone(&seeds),
             members,
             elected,
             term: 0,
-            hint: None,
+            next_addr: None,
             keys,
             calls,
             current: tx,
-            lost: Arc::clone(&lost),
+            lost_at: Arc::clone(&lost_at),
             log,
         };
         tokio::spawn(search.run());
         Self {
             current,
             seeds,
-            lost,
+            lost_at,
         }
     }
 
-    /// Takes new seeds into use at the next search.
+    /// Replaces the seed addresses; effective from the next search.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.seeds.lock().expect("no holder panics") = seeds;
     }
 
-    /// Whether a leader is connected at this moment.
+    /// Whether there is a connection to a leader now.
     pub fn is_connected(&self) -> bool {
         self.current.borrow().is_some()
     }
 
-    /// How long there has been no leader; `None` while one is connected.
+    /// Time since the loss of the last leader; `None` while one is connected.
     pub fn absent(&self, now: Instant) -> Option<Duration> {
-        let lost = *self.lost.lock().expect("no holder panics");
-        (!self.is_connected()).then(|| now.saturating_duration_since(lost))
+        let lost_at = *self.lost_at.lock().expect("no holder panics");
+        (!self.is_connected()).then(|| now.saturating_duration_since(lost_at))
     }
 
-    /// Calls the leader, whoever it is, until it answers or the deadline passes.
+    /// Calls the current leader until one answers or the deadline passes.
     ///
-    /// Every call is idempotent: a job by its id, a configuration by its version, a report by its
-    /// sequence. So one whose connection broke is sent again to the next leader.
+    /// A call whose connection broke is sent again to the next leader. That is safe because every
+    /// call is idempotent: a job by its id, a configuration by its version, a report by its
+    /// sequence number.
     pub async fn call(&self, call: Call, deadline: Instant) -> Result<CallReply, NoAnswer> {
         let mut current = self.current.clone();
         let mut sent = false;
-        let failed = |sent| {
+        let no_answer = |sent| {
             if sent {
                 NoAnswer::InDoubt
             } else {
@@ -154,17 +156,17 @@
         loop {
             let connected = timeout_at(deadline, current.wait_for(Option::is_some)).await;
             let Ok(Ok(tx)) = connected.map(|found| found.map(|tx| tx.clone())) else {
-                return Err(failed(sent));
+                return Err(no_answer(sent));
             };
             let (reply, rx) = oneshot::channel();
             let call = call.clone();
-            let Some(tx) = tx.filter(|tx| tx.send(Outgoing { call, reply }).is_ok()) else {
-                sleep(ROUND_PAUSE / 4).await;
+            let Some(tx) = tx.filter(|tx| tx.send(PendingCall { call, reply }).is_ok()) else {
+                sleep(PASS_DELAY / 4).await;
                 continue;
             };
             match timeout_at(deadline, rx).await {
                 Ok(Ok(CallReply::NotLeader(_))) => {
-                    // Nothing was done. The link looks for the new leader meanwhile.
+                    // Nothing was done. `LeaderSearch` finds the new leader in the background.
                     wait_for_change(&mut current, &tx, deadline).await;
                 }
                 Ok(Ok(reply)) => return Ok(reply),
@@ -176,45 +178,46 @@
 }
 
 async fn wait_for_change(
-    current: &mut watch::Receiver<Option<mpsc::UnboundedSender<Outgoing>>>,
-    old: &mpsc::UnboundedSender<Outgoing>,
+    current: &mut watch::Receiver<Option<mpsc::UnboundedSender<PendingCall>>>,
+    old: &mpsc::UnboundedSender<PendingCall>,
     deadline: Instant,
 ) {
-    let other = |now: &Option<mpsc::UnboundedSender<Outgoing>>| {
+    let other = |now: &Option<mpsc::UnboundedSender<PendingCall>>| {
         now.as_ref().is_some_and(|tx| !tx.same_channel(old))
     };
     let _ = timeout_at(deadline, current.wait_for(other)).await;
 }
 
-struct Search<M, P> {
+struct LeaderSearch<M, P> {
     seeds: Arc<Mutex<Vec<SocketAddr>>>,
-    /// Addresses that members named, and the present leader's.
+    /// Addresses of the members, and of the connected leader.
     members: watch::Sender<Members>,
-    /// The newest leader that another member told of.
-    elected: watch::Receiver<Option<Elected>>,
-    /// Highest term heard of on the way to leaders.
+    /// Newest leader reported by another member.
+    elected: watch::Receiver<Option<ElectedLeader>>,
+    /// Highest term seen in messages of members.
     term: Term,
-    hint: Option<SocketAddr>,
+    /// Address to try before all others: a member named it as the leader's.
+    next_addr: Option<SocketAddr>,
     keys: CellKeys,
     calls: Calls<M, P>,
-    current: watch::Sender<Option<mpsc::UnboundedSender<Outgoing>>>,
-    lost: Arc<Mutex<Instant>>,
+    current: watch::Sender<Option<mpsc::UnboundedSender<PendingCall>>>,
+    lost_at: Arc<Mutex<Instant>>,
     log: Logger,
 }
 
-impl<M: Minions, P: Policy> Search<M, P> {
+impl<M: Minions, P: Policy> LeaderSearch<M, P> {
     async fn run(mut self) {
         let mut next = 0;
-        let mut patience = FIRST_CONNECT_TIMEOUT;
+        let mut connect_timeout = FIRST_CONNECT_TIMEOUT;
         loop {
-            let addr = match self.hint.take().or_else(|| self.newly_elected()) {
+            let addr = match self.next_addr.take().or_else(|| self.newly_elected()) {
                 Some(addr) => addr,
                 None => {
                     let all = self.addresses();
                     if next >= all.len() {
                         next = 0;
-                        patience = CONNECT_TIMEOUT;
-                        sleep(ROUND_PAUSE).await;
+                        connect_timeout = CONNECT_TIMEOUT;
+                        sleep(PASS_DELAY).await;
                     }
                     let Some(addr) = all.get(next).copied() else {
                         continue;
@@ -223,20 +226,20 @@
                     addr
                 }
             };
-            let greeted = timeout(patience, self.connect(addr)).await;
-            let Ok(Ok((reader, writer, here))) = greeted else {
+            let connected = timeout(connect_timeout, self.connect(addr)).await;
+            let Ok(Ok((reader, writer, is_leader))) = connected else {
                 continue;
             };
-            if !here {
+            if !is_leader {
                 continue;
             }
             next = 0;
-            patience = FIRST_CONNECT_TIMEOUT;
+            connect_timeout = FIRST_CONNECT_TIMEOUT;
             self.members
                 .send_modify(|members| members.leader = Some(addr));
             info!(self.log, "leader found"; "leader" => %addr, "term" => self.term);
             let why = self.serve(reader, writer).await;
-            *self.lost.lock().expect("no holder panics") = Instant::now();
+            *self.lost_at.lock().expect("no holder panics") = Instant::now();
             self.current.send_replace(None);
             self.members.send_modify(|members| members.leader = None);
             let why = why.map_or_else(|e| e.to_string(), |()| "it no longer leads".to_owned());
@@ -244,7 +247,7 @@
         }
     }
 
-    /// A leader of a later term than any that this process has spoken to; named once.
+    /// A reported leader with a higher term than any seen before; returned only once.
     fn newly_elected(&mut self) -> Option<SocketAddr> {
         let elected = (*self.elected.borrow_and_update())?;
         if elected.term <= self.term {
@@ -257,9 +260,9 @@
     fn addresses(&self) -> Vec<SocketAddr> {
         let seeds = self.seeds.lock().expect("no holder panics").clone();
         let members = self.members.borrow();
-        let learned = members.all.iter().copied().filter(|a| !seeds.contains(a));
-        let learned: Vec<_> = learned.collect();
-        seeds.into_iter().chain(learned).collect()
+        let discovered = members.all.iter().copied().filter(|a| !seeds.contains(a));
+        let discovered: Vec<_> = discovered.collect();
+        seeds.into_iter().chain(discovered).collect()
     }
 
     async fn connect(&mut self, addr: SocketAddr) -> Result<(FrameReader, FrameWriter, bool)> {
@@ -268,22 +271,22 @@
         writer.write(&Up::Hello(self.calls.zone.clone())).await?;
         match reader.read::<Down>().await? {
             Some(Down::Lead {
-                here,
+                is_leader,
                 term,
                 leader,
                 members,
             }) => {
                 self.term = self.term.max(term);
-                self.learn(here, leader, members, addr);
-                Ok((reader, writer, here))
+                self.update_members(is_leader, leader, members, addr);
+                Ok((reader, writer, is_leader))
             }
-            _ => Err(Error::new(Step::Handshake, "no greeting came").with_peer(addr)),
+            _ => Err(Error::new(Step::Handshake, "the peer sent no greeting").with_peer(addr)),
         }
     }
 
-    fn learn(
+    fn update_members(
         &mut self,
-        here: bool,
+        is_leader: bool,
         leader: Option<SocketAddr>,
         members: Vec<SocketAddr>,
         from: SocketAddr,
@@ -292,13 +295,13 @@
             let all = members.into_iter().collect();
             self.members.send_modify(|members| members.all = all);
         }
-        self.hint = leader.filter(|addr| !here && *addr != from);
+        self.next_addr = leader.filter(|addr| !is_leader && *addr != from);
     }
 
-    /// Carries calls until the connection fails or the far end ceases to lead.
+    /// Exchanges messages with the leader until the connection fails or the peer no longer leads.
     async fn serve(&mut self, mut reader: FrameReader, mut writer: FrameWriter) -> Result<()> {
-        let (tx, mut rx) = mpsc::unbounded_channel::<Outgoing>();
-        let (ups, mut answers) = mpsc::unbounded_channel::<Up>();
+        let (tx, mut rx) = mpsc::unbounded_channel::<PendingCall>();
+        let (agent_tx, mut answers) = mpsc::unbounded_channel::<Up>();
         let (done_tx, mut done) = mpsc::unbounded_channel::<(OrderNumber, MinionAnswer)>();
         let (down_tx, mut downs) = mpsc::channel::<Down>(64);
         let reading = tokio::spawn(async move {
@@ -312,19 +315,23 @@
         self.current.send_replace(Some(tx));
         let mut open: HashMap<CallNumber, oneshot::Sender<CallReply>> = HashMap::new();
         let mut number: CallNumber = 0;
-        let mut heard = Instant::now();
-        let mut pinged: Option<Instant> = None;
+        let mut last_received = Instant::now();
+        let mut pinged_at: Option<Instant> = None;
         loop {
-            let quiet = if open.is_empty() { QUIET_IDLE } else { QUIET };
-            let check = pinged.map_or(heard + quiet, |at| at + PONG_TIMEOUT);
+            let quiet = if open.is_empty() {
+                PING_AFTER_IDLE
+            } else {
+                PING_AFTER
+            };
+            let check = pinged_at.map_or(last_received + quiet, |at| at + PONG_TIMEOUT);
             tokio::select! {
                 outgoing = rx.recv() => {
                     let Some(first) = outgoing else { return Ok(()) };
-                    if open.is_empty() && pinged.is_none() {
-                        heard = Instant::now();
+                    if open.is_empty() && pinged_at.is_none() {
+                        last_received = Instant::now();
                     }
                     let mut next = Some(first);
-                    while let Some(Outgoing { call, reply }) = next {
+                    while let Some(PendingCall { call, reply }) = next {
                         number += 1;
                         open.insert(number, reply);
                         writer.queue(&Up::Call(number, call))?;
@@ -344,42 +351,42 @@
                         while let Ok(next) = done.try_recv() {
                             answers.push(next);
                         }
-                        writer.queue(&Up::Done(answers))?;
+                        writer.queue(&Up::OrderAnswers(answers))?;
                         flush(&mut writer).await?;
                     }
                 }
                 down = downs.recv() => {
-                    heard = Instant::now();
-                    pinged = None;
+                    last_received = Instant::now();
+                    pinged_at = None;
                     match down {
                         None => return Err(Error::new(Step::Transfer, "the connection ended")),
                         Some(Down::Reply(number, reply)) => {
-                            let moved = matches!(reply, CallReply::NotLeader(_));
+                            let not_leader = matches!(reply, CallReply::NotLeader(_));
                             if let CallReply::NotLeader(leader) = &reply {
-                                self.hint = *leader;
+                                self.next_addr = *leader;
                             }
                             if let Some(tx) = open.remove(&number) {
                                 let _ = tx.send(reply);
                             }
-                            if moved {
+                            if not_leader {
                                 return Ok(());
                             }
                         }
-                        Some(Down::Lead { here, term, leader, members }) => {
+                        Some(Down::Lead { is_leader, term, leader, members }) => {
                             self.term = self.term.max(term);
                             let from = writer.peer().parse();
                             if let Ok(from) = from {
-                                self.learn(here, leader, members, from);
+                                self.update_members(is_leader, leader, members, from);
                             }
-                            if !here {
+                            if !is_leader {
                                 return Ok(());
                             }
                         }
                         Some(Down::Advise(question)) => {
-                            let (policy, ups) = (self.calls.policy.clone(), ups.clone());
+                            let (policy, agent_tx) = (self.calls.policy.clone(), agent_tx.clone());
                             tokio::spawn(async move {
                                 let advice = policy.advise(&question).await;
-                                let _ = ups.send(Up::Advised(question.id, advice));
+                                let _ = agent_tx.send(Up::Advice(question.id, advice));
                             });
                         }
                         Some(Down::Orders(orders)) => {
@@ -396,16 +403,16 @@
                 }
                 Ok(()) = self.elected.changed() => {
                     if let Some(addr) = self.newly_elected() {
-                        self.hint = Some(addr);
+                        self.next_addr = Some(addr);
                         return Err(Error::new(Step::Transfer, "another leader was elected"));
                     }
                 }
                 () = sleep_until(check) => {
-                    // Open connections can fall silent for good while new ones work.
-                    if pinged.is_some() {
+                    // An established connection can stall permanently while new ones work.
+                    if pinged_at.is_some() {
                         return Err(Error::new(Step::Transfer, "the connection fell silent"));
                     }
-                    pinged = Some(Instant::now());
+                    pinged_at = Some(Instant::now());
                     writer.queue(&Up::Ping(number))?;
                     flush(&mut writer).await?;
                 }
--- a/src/batch/machine.rs
+++ b/src/batch/machine.rs
@@ -1,5 +1,5 @@
-//! The state machine above the replicated log: the ledger, and beside it, only while this replica
-//! leads, the dispatcher.
+//! The state machine of the replicated log: the ledger and, while this replica leads, the
+//! dispatcher.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,58 +16,62 @@
 use crate::ids::{LogIndex, MinionId, Term, Timestamp};
 use crate::replication::{StateMachine, monotonic_now, unix_now};
 
-/// The replicated ledger and the volatile state of its leader.
+/// The replicated ledger and the leader's volatile state.
 pub struct Machine {
     pub(crate) ledger: Ledger,
     cfg: DispatchConfig,
     term: Term,
-    lead: Option<Dispatcher>,
-    /// Batches of this leader that the log did not take, oldest first. Dropped, their ends would
-    /// never be agreed and their number would keep all later ones from being proposed.
-    not_taken: Vec<Vec<u8>>,
-    /// When this replica learnt that a minion leaves, by its own steady clock. Not part of the
-    /// replicated state: a replica that does not know assumes the longest lease.
-    leaving_since: BTreeMap<MinionNumber, Timestamp>,
-    /// Processes that can send orders and ask questions for the leader.
+    /// `Some` while this replica leads.
+    dispatcher: Option<Dispatcher>,
+    /// Encoded batches of this leader that the log rejected, oldest first; proposed again. If they
+    /// were dropped, the ends in them would never be committed, and since they still count as in
+    /// flight, no further batches would be proposed.
+    rejected_batches: Vec<Vec<u8>>,
+    /// When this replica learned that a minion is draining, by its monotonic clock. Not replicated:
+    /// a replica without an entry assumes the longest lease.
+    draining_since: BTreeMap<MinionNumber, Timestamp>,
+    /// Number of processes that can send orders and ask questions on the leader's behalf.
     agents: usize,
-    /// Orders leave through here; the receiver is bounded by what the dispatcher keeps in flight.
+    /// Orders to the driver. The channel needs no bound: the dispatcher limits the orders in
+    /// flight.
     orders: UnboundedSender<Vec<Order>>,
 }
 
-/// What came of an order to a minion.
-pub(crate) struct Answered {
+/// An order to a minion and its answer, or what stands for a missing one.
+pub(crate) struct OrderOutcome {
     pub(crate) minion: MinionNumber,
     pub(crate) order: OrderKind,
-    /// When it was handed out.
+    /// When the order was sent, by the leader's monotonic clock.
     pub(crate) sent: Timestamp,
     pub(crate) answer: MinionAnswer,
 }
 
-/// What a caller's request comes down to.
+/// How a caller's request is to be served.
 #[derive(Debug)]
 pub enum Admission {
-    /// It is answered from the ledger.
+    /// Answered immediately from the ledger.
     Answer(ClientReply),
-    /// It is answered once this command is agreed.
+    /// Answered after this command is committed.
     Propose(Box<Command>),
 }
 
 impl Machine {
-    /// An empty ledger.
+    /// Creates a follower with an empty ledger that sends its orders to `orders` once it leads.
     pub fn new(cfg: DispatchConfig, orders: UnboundedSender<Vec<Order>>) -> Self {
         Self {
             ledger: Ledger::default(),
             cfg,
             term: 0,
-            lead: None,
-            not_taken: Vec::new(),
-            leaving_since: BTreeMap::new(),
+            dispatcher: None,
+            rejected_batches: Vec::new(),
+            draining_since: BTreeMap::new(),
             agents: 0,
             orders,
         }
     }
 
-    /// Decides on a caller's request. Only a leader whose leadership is confirmed may ask.
+    /// Decides how to serve a caller's request. Call it only while leadership is confirmed: on a
+    /// deposed leader the ledger may be stale.
     pub fn admit(&self, call: ClientCall) -> Admission {
         let Some(config) = &self.ledger.config else {
             return Admission::Answer(ClientReply::Unavailable(RETRY_AFTER));
@@ -86,31 +90,37 @@
             (_, Some(job)) => job,
             (_, None) => return Admission::Answer(ClientReply::NoQueue),
         };
-        let held = self.ledger.jobs.get(&job);
-        let known = held.filter(|j| j.is_in(queue) && caller.may_see(j.owner.as_ref()));
+        let existing = self.ledger.jobs.get(&job);
+        let visible = existing.filter(|j| j.is_in(queue) && caller.may_access(j.owner.as_ref()));
         match call.action {
-            ClientAction::Submit(_) if known.is_some() => Admission::Answer(ClientReply::Accepted),
-            ClientAction::Submit(_) if held.is_some() => Admission::Answer(ClientReply::IdTaken),
+            ClientAction::Submit(_) if visible.is_some() => {
+                Admission::Answer(ClientReply::Accepted)
+            }
+            ClientAction::Submit(_) if existing.is_some() => {
+                Admission::Answer(ClientReply::IdTaken)
+            }
             ClientAction::Submit(spec) => Admission::Propose(Box::new(Command::Submit {
                 job,
                 queue: Arc::new(queue.clone()),
                 owner: caller.into_owner(),
                 spec,
             })),
-            ClientAction::State => Admission::Answer(match known {
-                Some(known) => ClientReply::State(known.state),
+            ClientAction::State => Admission::Answer(match visible {
+                Some(visible) => ClientReply::State(visible.state),
                 None => ClientReply::Gone,
             }),
-            ClientAction::Cancel => match known {
+            ClientAction::Cancel => match visible {
                 None => Admission::Answer(ClientReply::Gone),
-                Some(known) if known.state.is_final() => Admission::Answer(ClientReply::Accepted),
+                Some(visible) if visible.state.is_final() => {
+                    Admission::Answer(ClientReply::Accepted)
+                }
                 Some(_) => Admission::Propose(Box::new(Command::Cancel { job })),
             },
             ClientAction::Pending => Admission::Answer(ClientReply::NoQueue),
         }
     }
 
-    /// The configuration in force, as its operator sent it.
+    /// The configuration in force, as the operator sent it.
     pub(crate) fn config_document(&self) -> OperatorReply {
         match &self.ledger.config {
             Some(config) => OperatorReply::Document(config.document.clone()),
@@ -118,58 +128,66 @@
         }
     }
 
-    /// Whether a configuration of this version would change anything.
+    /// Whether a configuration of this version would take effect.
     pub(crate) fn is_newer(&self, version: ConfigVersion) -> bool {
         self.ledger.is_newer(version)
     }
 
-    /// Takes a minion's report.
+    /// Passes a minion's report to the dispatcher. Ignored on a replica that does not lead.
     pub(crate) fn report(&mut self, now: Timestamp, report: MinionReport) {
-        if let Some(lead) = &mut self.lead {
-            lead.report(now, report);
+        if let Some(dispatcher) = &mut self.dispatcher {
+            dispatcher.report(now, report);
         }
     }
 
-    /// A minion has said that it ends.
-    pub(crate) fn left(&mut self, now: Timestamp, id: &MinionId) {
-        if let Some(lead) = &mut self.lead {
-            lead.left(now, id);
+    /// Records that a minion announced its exit. Ignored on a replica that does not lead.
+    pub(crate) fn minion_left(&mut self, now: Timestamp, id: &MinionId) {
+        if let Some(dispatcher) = &mut self.dispatcher {
+            dispatcher.left(now, id);
         }
     }
 
-    /// Takes what came of orders to minions.
-    pub(crate) fn answered(&mut self, now: Timestamp, answers: Vec<Answered>) {
-        let Some(lead) = &mut self.lead else { return };
-        for a in answers {
-            lead.answered(now, a.minion, &a.order, a.sent, a.answer, &self.ledger);
+    /// Passes the outcomes of orders to the dispatcher. Ignored on a replica that does not lead.
+    pub(crate) fn orders_answered(&mut self, now: Timestamp, outcomes: Vec<OrderOutcome>) {
+        let Some(dispatcher) = &mut self.dispatcher else {
+            return;
+        };
+        for o in outcomes {
+            dispatcher.answered(now, o.minion, &o.order, o.sent, o.answer, &self.ledger);
         }
     }
 
-    /// Notes how many agents there are.
+    /// Sets the number of connected agents. Kept for the time when this replica leads.
     pub(crate) fn set_agents(&mut self, agents: usize) {
         self.agents = agents;
-        if let Some(lead) = &mut self.lead {
-            lead.set_agents(agents);
+        if let Some(dispatcher) = &mut self.dispatcher {
+            dispatcher.set_agents(agents);
         }
     }
 
-    pub(crate) fn advised(&mut self, now: Timestamp, question: QuestionId, advice: Option<Advice>) {
-        if let Some(lead) = &mut self.lead {
-            lead.advised(now, question, advice);
+    /// Passes the answer to a question to the dispatcher; `None` when no answer came.
+    pub(crate) fn advice_received(
+        &mut self,
+        now: Timestamp,
+        question: QuestionId,
+        advice: Option<Advice>,
+    ) {
+        if let Some(dispatcher) = &mut self.dispatcher {
+            dispatcher.advised(now, question, advice);
         }
     }
 
-    fn note_leaving(&mut self, now: Timestamp, batch: &Batch) {
+    fn record_draining(&mut self, now: Timestamp, batch: &Batch) {
         for number in &batch.draining {
-            self.leaving_since.entry(*number).or_insert(now);
+            self.draining_since.entry(*number).or_insert(now);
         }
         for number in &batch.gone {
-            self.leaving_since.remove(number);
+            self.draining_since.remove(number);
         }
     }
 
-    /// Whether a command changes anything; told to the dispatcher after it is applied.
-    fn is_fresh(&self, command: &Command) -> bool {
+    /// Whether applying a command changes the ledger; passed to the dispatcher afterwards.
+    fn has_effect(&self, command: &Command) -> bool {
         match command {
             Command::PutConfig { version, .. } => self.is_newer(*version),
             Command::Submit { job, .. } => !self.ledger.jobs.contains_key(job),
@@ -182,7 +200,7 @@
     }
 }
 
-/// Reads a job's id: sixteen hexadecimal digits.
+/// Parses a job id; `None` unless the text is sixteen hexadecimal digits.
 pub fn parse_job_id(text: &str) -> Option<JobId> {
     let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     digits.then(|| JobId::from_str_radix(text, 16).ok())?
@@ -194,16 +212,16 @@
     fn apply(&mut self, _: LogIndex, at: Timestamp, command: &[u8]) -> Reply {
         let command = match Command::from_bytes(command) {
             Ok(command) => command,
-            // Every replica of this version passes over it alike, so they stay equal.
+            // Every replica of this version skips the same entry, so their ledgers stay equal.
             Err(_) => return Reply::Unknown,
         };
-        let fresh = self.lead.is_some() && self.is_fresh(&command);
+        let effective = self.dispatcher.is_some() && self.has_effect(&command);
         let reply = self.ledger.apply(at, &command);
         if let Command::Batch(batch) = &command {
-            self.note_leaving(monotonic_now(), batch);
+            self.record_draining(monotonic_now(), batch);
         }
-        if let Some(lead) = &mut self.lead {
-            lead.applied(monotonic_now(), &self.ledger, &command, fresh);
+        if let Some(dispatcher) = &mut self.dispatcher {
+            dispatcher.applied(monotonic_now(), &self.ledger, &command, effective);
         }
         reply
     }
@@ -213,44 +231,44 @@
     }
 
     fn leadership_changed(&mut self, leading: bool, now: Timestamp) {
-        self.not_taken.clear();
-        self.lead = leading.then(|| {
-            let mut lead = Dispatcher::new(self.cfg.clone(), self.term, &self.ledger, now);
-            lead.assume_leaving(now, &self.leaving_since);
-            lead.set_agents(self.agents);
-            lead
+        self.rejected_batches.clear();
+        self.dispatcher = leading.then(|| {
+            let mut dispatcher = Dispatcher::new(self.cfg.clone(), self.term, &self.ledger, now);
+            dispatcher.assume_leaving(now, &self.draining_since);
+            dispatcher.set_agents(self.agents);
+            dispatcher
         });
     }
 
     fn lead(&mut self, now: Timestamp) -> Vec<Vec<u8>> {
-        let Some(lead) = &mut self.lead else {
+        let Some(dispatcher) = &mut self.dispatcher else {
             return Vec::new();
         };
-        let batch = lead.decide(now, unix_now(), &self.ledger);
-        if lead.has_orders() {
-            // The receiver lives as long as the process.
-            let _ = self.orders.send(lead.take_orders());
+        let batch = dispatcher.decide(now, unix_now(), &self.ledger);
+        if dispatcher.has_orders() {
+            // The receiver is dropped only when the process exits.
+            let _ = self.orders.send(dispatcher.take_orders());
         }
-        let mut commands = std::mem::take(&mut self.not_taken);
+        let mut commands = std::mem::take(&mut self.rejected_batches);
         let command = batch.map(Command::Batch);
         commands.extend(command.and_then(|c| c.to_bytes().ok()));
         commands
     }
 
     fn not_taken(&mut self, command: Vec<u8>) {
-        self.not_taken.push(command);
+        self.rejected_batches.push(command);
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        // An empty snapshot would be refused by its missing version instead of being believed.
+        // After a failure to encode, the empty snapshot is rejected on restore: it has no version.
         self.ledger.to_bytes().unwrap_or_default()
     }
 
     fn restore(&mut self, snapshot: &[u8]) -> Result<()> {
         self.ledger = Ledger::from_bytes(snapshot)?;
-        // A snapshot may pass over the batch that told that a minion is gone.
+        // The snapshot may replace log entries that removed minions.
         let known = &self.ledger.minions;
-        self.leaving_since
+        self.draining_since
             .retain(|number, _| known.contains_key(number));
         Ok(())
     }
--- a/src/batch/mod.rs
+++ b/src/batch/mod.rs
@@ -1,5 +1,6 @@
-//! Batch work on minions that take orders by call: jobs of steps with dependencies, gangs and
-//! lasting tasks, held in a replicated ledger and dispatched by the leader under a fencing token.
+//! Batch jobs on minions that are controlled by remote calls: jobs of steps with dependencies,
+//! gangs and long-running tasks, stored in a replicated ledger and dispatched by the leader. The
+//! leader's term is the fencing token of its orders.
 
 pub mod agents;
 pub mod calls;
--- a/src/batch/model.rs
+++ b/src/batch/model.rs
@@ -1,4 +1,4 @@
-//! Jobs of steps, the configuration they run under, and the minions that run their tasks.
+//! Data model: jobs and their steps, the configuration, and what minions report.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,30 +12,31 @@
 use crate::ids::{MinionId, RackName, ServiceName, Timestamp, ZoneName};
 use crate::resources::Resources;
 
-/// Number under which a caller hands a job in; the idempotency key of the hand-in.
+/// Id that the caller chooses for a job; also the idempotency key of the submission.
 pub type JobId = u64;
-/// Number of a task's start, from 1. A minion refuses one that is not newer than the last.
+/// Number of a run within its task, from 1. A minion refuses a run that is not newer than the last
+/// one of the task that it stopped or that ended there.
 pub type RunNumber = u32;
-/// Number the ledger gives one incarnation of a minion.
+/// Number that the ledger assigns to one incarnation of a minion.
 pub type MinionNumber = u32;
-/// Version of a configuration; the highest one is in force.
+/// Version of a configuration, chosen by the operator; the highest one is in force.
 pub type ConfigVersion = u64;
-/// Text that lets a start go on from saved progress; empty when nothing was saved.
+/// Opaque text from which a run resumes saved progress; empty when nothing was saved.
 pub type Checkpoint = CompactString;
 
 /// One step of one occurrence of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StepId {
-    /// The job.
+    /// Job that the step belongs to.
     pub job: JobId,
-    /// Which repetition of a scheduled job, from 0.
+    /// Repetition of a scheduled job, from 0.
     pub occurrence: u32,
     /// Position of the step in the job, from 0.
     pub step: u16,
 }
 
 impl StepId {
-    /// All steps that a job can have.
+    /// Range of all possible steps of a job, for range queries on ordered maps.
     pub fn all_of(job: JobId) -> RangeInclusive<Self> {
         let id = |occurrence, step| Self {
             job,
@@ -45,12 +46,12 @@
         id(0, 0)..=id(u32::MAX, u16::MAX)
     }
 
-    /// One of its tasks.
+    /// Id of the task at this position.
     pub fn task(self, index: u32) -> TaskId {
         TaskId { step: self, index }
     }
 
-    /// All tasks that it can have.
+    /// Range of all possible tasks of the step, for range queries on ordered maps.
     pub fn tasks(self) -> RangeInclusive<TaskId> {
         self.task(0)..=self.task(u32::MAX)
     }
@@ -59,7 +60,7 @@
 /// One task of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskId {
-    /// The step it belongs to.
+    /// Step that the task belongs to.
     pub step: StepId,
     /// Position in the step, from 0.
     pub index: u32,
@@ -77,71 +78,71 @@
     }
 }
 
-/// How the tasks of a step relate to time.
+/// Whether the tasks of a step end by themselves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Lifetime {
-    /// Each task ends once it has done its work.
+    /// Each task ends when its work is done.
     #[default]
     Finite,
-    /// The tasks run until the job is cancelled and are started again however they end.
+    /// The tasks run until the job is cancelled; they are restarted however they end.
     Lasting,
 }
 
 /// How the tasks of a step are started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Grouping {
-    /// Each on its own.
+    /// Each task is started independently.
     #[default]
     Single,
-    /// All at once or not at all; they work only together.
+    /// All tasks are started together or not at all; they make progress only together.
     Gang,
 }
 
-/// One step as declared.
+/// One step of a job as declared.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepSpec {
     /// Number of tasks.
     pub count: u32,
-    /// What each task takes of its minion.
+    /// Resources that each task reserves on its minion.
     pub need: Resources,
-    /// Declared run time of a task; often far off.
+    /// Declared run time of a task; often far from the actual one.
     pub estimate: Duration,
-    /// Earlier steps that must be done first.
+    /// Dependencies: positions of earlier steps that must be done first.
     pub after: Vec<u16>,
     /// Whether the tasks write checkpoints.
     pub saves_progress: bool,
-    /// Whether the tasks work only together.
+    /// Whether the tasks form a gang.
     pub grouping: Grouping,
-    /// Whether tasks on more than one rack run slower.
+    /// Whether the tasks run slower when spread over more than one rack.
     pub one_rack: bool,
-    /// Label that a minion must carry.
+    /// Label that a minion must have; `None` for any minion.
     pub label: Option<CompactString>,
-    /// Rack near the data; slower elsewhere.
+    /// Rack of the input data; tasks on other racks run slower.
     pub data_rack: Option<RackName>,
-    /// Most tasks of the step on one minion.
+    /// Most tasks of the step on one minion; `None` for no limit.
     pub max_per_minion: Option<u32>,
-    /// Whether copies of one task may run at the same time.
+    /// Whether speculative copies of one task may run at the same time.
     pub copies_allowed: bool,
     /// Whether the tasks end by themselves.
     pub lifetime: Lifetime,
-    /// What the tasks run; tasks of one image behave alike.
+    /// Program that the tasks run; tasks with the same image have similar run times and usage.
     pub image: CompactString,
-    /// Bound on the tail latency of a task that serves users of its own.
+    /// Bound on the tail latency of a task that itself serves requests; `None` for other tasks.
     pub latency_target: Option<Duration>,
-    /// Whether the tasks take only processor time that others leave idle.
+    /// Whether the tasks use only processor time that other tasks leave idle.
     pub fills: bool,
-    /// How many tasks may be away at once because of the scheduler.
+    /// Most tasks that the scheduler may disrupt at once; `None` when not declared.
     pub disruption_budget: Option<u32>,
 }
 
-/// When a job's steps are run.
+/// Schedule of a job that runs more than once or at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Timetable {
-    /// Number of occurrences.
+    /// Number of times that the steps are run.
     pub occurrences: u32,
-    /// Unix time of the first one.
+    /// Unix time of the first occurrence.
     pub first: Duration,
-    /// Time between two.
+    /// Time from one occurrence to the next.
     pub interval: Duration,
 }
 
@@ -155,78 +156,78 @@
 /// A job as a caller declares it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Passed to each start unchanged.
+    /// Opaque text passed unchanged with each start.
     pub payload: CompactString,
-    /// Its steps, in order.
+    /// Steps; a step depends only on earlier ones.
     pub steps: Vec<StepSpec>,
-    /// When it runs; at once and once when absent.
+    /// Schedule; without one the job runs once, immediately.
     pub timetable: Option<Timetable>,
 }
 
-/// What a policy service about placement costs to ask.
+/// Cost and validity of answers of the placement policy service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AdviceTerms {
-    /// Time of a call.
+    /// Fixed time of a call.
     pub base: Duration,
-    /// Further time for each minion asked about.
+    /// Additional time for each minion in the question.
     pub per_minion: Duration,
-    /// How long a ticket is good.
+    /// How long a ticket remains valid.
     pub validity: Duration,
 }
 
 /// A queue of jobs, as a route of the configuration declares it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Name of the route.
+    /// Name of the route; not used for matching requests.
     pub name: CompactString,
-    /// Host that callers name.
+    /// Host in the requests of callers; must match exactly.
     pub host: CompactString,
-    /// Start of the paths that belong to it.
+    /// Prefix of the request paths that belong to the queue.
     pub prefix: CompactString,
-    /// Longest time for an answer to a caller.
+    /// Time within which a caller must get an answer.
     pub timeout: Duration,
     /// Fixed part of a job's latency objective.
     pub slo: Duration,
-    /// Allowed multiple of a job's longest chain of work.
+    /// Variable part of the latency objective, as a multiple of the job's critical path.
     pub stretch: f64,
-    /// 0 comes first.
+    /// Scheduling priority; 0 is the highest.
     pub priority: u32,
     /// Service whose minions run the tasks.
     pub service: ServiceName,
-    /// Failed runs after which a task has failed.
+    /// Number of failed runs of a task, or of a gang's tasks together, that fail the job.
     pub attempts: u32,
-    /// Policy to ask before placing, if any.
+    /// Policy service to ask before placing tasks; `None` to place without asking.
     pub advice: Option<AdviceTerms>,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub public: bool,
 }
 
 /// A pool of minions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name by which queues and minions refer to the pool.
     pub name: ServiceName,
-    /// Whether its minions refuse what does not fit.
+    /// Whether its minions refuse runs that do not fit.
     pub admission_check: bool,
-    /// Whether its machines are off.
+    /// Whether its hosts are powered off.
     pub standby: bool,
 }
 
 /// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest head of a request in bytes.
+    /// Maximum size of a request head in bytes.
     pub header_bytes: u32,
-    /// Largest body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: u32,
-    /// Longest time for a head to arrive.
+    /// Time within which the head of a request must arrive.
     pub header_timeout: Duration,
     /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// The values of the operators' own example, in force until a configuration names others.
+    /// Values of the operators' example configuration, in force until a configuration sets others.
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
@@ -237,32 +238,34 @@
     }
 }
 
-/// A configuration in the form the scheduler uses.
+/// A parsed configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Queues.
+    /// One queue per declared route.
     pub queues: Vec<Queue>,
     /// Pools of minions.
     pub services: Vec<Service>,
-    /// Limits on requests.
+    /// Limits on callers' requests.
     pub limits: Limits,
-    /// Workspaces; `None` where callers have no keys at all.
+    /// Workspaces; `None` where the deployment uses no API keys.
     pub workspaces: Option<Workspaces>,
 }
 
 impl Configuration {
-    /// Who makes a call on a queue; `None` when it needs a key that it does not carry.
+    /// Identifies the caller of a queue; `None` when the queue requires a key and the given one is
+    /// missing or not valid.
     pub fn caller(&self, queue: &Queue, key: Option<&KeyHash>) -> Option<Caller> {
         match &self.workspaces {
             Some(workspaces) if !queue.public => {
                 let owner = workspaces.keys.get(key?)?;
                 Some(Caller::Workspace(owner.clone()))
             }
-            _ => Some(Caller::Anyone),
+            _ => Some(Caller::Anonymous),
         }
     }
 
-    /// Finds the queue of a request and the rest of its path: the host's longest prefix wins.
+    /// Finds the queue of a request and the rest of the path after its prefix. The longest matching
+    /// prefix of the host wins.
     pub fn route<'a>(&self, host: &str, path: &'a str) -> Option<(&Queue, &'a str)> {
         self.queues
             .iter()
@@ -275,64 +278,64 @@
 /// Whether a minion takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Readiness {
-    /// Takes work.
+    /// Accepts new runs.
     Ready,
-    /// Leaves; `remaining` is the least time it still works, when it said so.
+    /// Shutting down; accepts no new runs.
     Draining {
-        /// Least time left.
+        /// Minimum time until it stops working; `None` when it did not say.
         remaining: Option<Duration>,
     },
 }
 
-/// What a minion says of itself.
+/// Report that a minion sends about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MinionReport {
-    /// Its name; it may start again under the same one.
+    /// Name of the minion; it may restart under the same one.
     pub id: MinionId,
-    /// When it started, by its Unix time: tells two incarnations of one name apart. `None` when it
-    /// does not say.
+    /// Start time by the minion's Unix clock; distinguishes incarnations with the same name. `None`
+    /// when it did not say.
     pub started: Option<Timestamp>,
-    /// Its service.
+    /// Service that the minion belongs to.
     pub service: ServiceName,
-    /// Where it takes orders.
+    /// Address at which it accepts orders.
     pub addr: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of its host.
     pub zone: ZoneName,
-    /// What it has.
+    /// Total resources of the minion.
     pub capacity: Resources,
-    /// Its kind and its rack, and what else it carries.
+    /// Labels: its kind, its rack, and any others.
     pub labels: Vec<CompactString>,
-    /// Whether it takes work.
+    /// Whether it accepts new runs.
     pub readiness: Readiness,
-    /// Its own steady clock when it sent this.
+    /// The minion's monotonic clock when it sent the report.
     pub clock: Duration,
-    /// Grows with each report; a lower one is late.
+    /// Increases with each report; a report with a lower number is stale.
     pub sequence: u64,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EndKind {
-    /// Its work is done.
+    /// The task completed.
     Done,
-    /// Its own fault or the minion's; counts as an attempt.
+    /// The task or its minion failed; counts as an attempt.
     Failed,
-    /// Stopped on order.
+    /// Stopped by an order.
     Stopped,
-    /// Its lease ran out, or its minion is gone.
+    /// The lease expired, or the minion is gone.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang did not come.
+    /// The other members of its gang did not start in time.
     Alone,
-    /// It was proved never to have started.
+    /// Proved never to have started.
     NeverStarted,
-    /// Its minion crashed.
+    /// The minion crashed.
     Crashed,
 }
 
 impl EndKind {
-    /// Name in logs.
+    /// Value in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -352,18 +355,18 @@
 pub enum JobState {
     /// Accepted; no task has started.
     Queued,
-    /// A task has started.
+    /// At least one task has started.
     Running,
-    /// All tasks are done.
+    /// All tasks of all occurrences are done.
     Done,
-    /// A task failed too often.
+    /// A task failed too often, or may have crashed too many minions.
     Failed,
-    /// Cancelled by its caller.
+    /// Cancelled by a caller.
     Canceled,
 }
 
 impl JobState {
-    /// Whether nothing will run any more.
+    /// Whether the job has ended, so that none of its tasks will start again.
     pub fn is_final(self) -> bool {
         !matches!(self, Self::Queued | Self::Running)
     }
--- a/src/batch/note.rs
+++ b/src/batch/note.rs
@@ -1,4 +1,4 @@
-//! What the scheduler tells of its decisions: one record each, written to the log outside.
+//! Events that the dispatcher emits about its decisions and observations, for logs and metrics.
 
 use std::time::Duration;
 
@@ -9,244 +9,244 @@
 use crate::ids::{MinionId, Term, Timestamp, WorkspaceName};
 use crate::resources::Resources;
 
-/// One decision, or one change of what the leader believes.
+/// One decision or observation of the leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
-    /// A job was stored.
+    /// A job was accepted.
     JobAccepted {
-        /// Which.
+        /// Id of the job.
         job: JobId,
-        /// Its queue.
+        /// Name of its queue.
         queue: CompactString,
-        /// Workspace that handed it in.
+        /// Workspace that submitted it; `None` on a public queue.
         workspace: Option<WorkspaceName>,
-        /// Jobs of all queues that no task of has started.
+        /// Number of jobs in all queues of which no task has started.
         unstarted: usize,
     },
     /// A job ended.
     JobEnded {
-        /// Which.
+        /// Id of the job.
         job: JobId,
-        /// How.
+        /// Final state.
         state: &'static str,
-        /// Since it was accepted.
+        /// Time since it was accepted.
         age: Duration,
     },
     /// A run was given to a minion.
     RunPlaced {
-        /// Task.
+        /// Task that the run belongs to.
         task: TaskId,
-        /// Run.
+        /// Number of the run.
         run: RunNumber,
-        /// Minion.
+        /// Incarnation that the run was given to.
         minion: MinionId,
-        /// Since the task's job was accepted.
+        /// Time since the job was accepted.
         age: Duration,
-        /// Declared run time.
+        /// Declared run time of the task.
         estimate: Duration,
-        /// Time left until the job should be done; zero when that has passed.
+        /// Time left until the job's objective; zero when that has passed.
         slack: Duration,
-        /// Thousandths of a core free there before.
+        /// Millicores that were free on the minion before.
         free: u32,
-        /// Age of the last word from the minion.
+        /// Time since the last message from the minion.
         heard: Duration,
     },
     /// A run has ended.
     RunEnded {
-        /// Task.
+        /// Task that the run belongs to.
         task: TaskId,
-        /// Run.
+        /// Number of the run.
         run: RunNumber,
-        /// Minion.
+        /// Incarnation that the run was given to.
         minion: MinionId,
-        /// How.
+        /// How it ended.
         kind: EndKind,
-        /// Since it was placed.
+        /// Time since it was placed.
         age: Duration,
     },
-    /// A start was not carried out, or not known to be.
+    /// A start was refused or got no answer, so it may not have been executed.
     StartFailed {
-        /// Task.
+        /// Task that the run belongs to.
         task: TaskId,
-        /// Run.
+        /// Number of the run.
         run: RunNumber,
-        /// Minion.
+        /// Incarnation that the run was given to.
         minion: MinionId,
-        /// Why.
+        /// Reason for the refusal or kind of the missing answer.
         why: &'static str,
-        /// Orders sent so far.
+        /// Number of start orders sent so far for the run.
         tries: u32,
     },
     /// A minion joined.
     MinionJoined {
-        /// Incarnation.
+        /// Name of the incarnation.
         minion: MinionId,
-        /// When it started, by its Unix time.
+        /// Start time by the minion's Unix clock; `None` when it did not say.
         started: Option<Timestamp>,
     },
-    /// A minion started again under the name that it had.
+    /// A minion restarted under the same name.
     MinionRestarted {
-        /// Its name.
+        /// Name of both incarnations.
         minion: MinionId,
-        /// When the new incarnation started, by its Unix time.
+        /// Start time of the new incarnation by its Unix clock.
         started: Option<Timestamp>,
-        /// The same of the one before.
+        /// Start time of the previous incarnation.
         before: Option<Timestamp>,
-        /// Since the last answer of the one before.
+        /// Time since the last message from the previous incarnation.
         heard: Duration,
-        /// Runs that were given to it.
+        /// Number of runs that the previous incarnation had.
         runs: usize,
     },
-    /// The capacity of a minion has changed.
+    /// The capacity of a minion changed.
     MinionResized {
-        /// Incarnation.
+        /// Name of the incarnation.
         minion: MinionId,
-        /// What it has now.
+        /// New capacity.
         capacity: Resources,
     },
-    /// A minion leaves.
+    /// A minion started draining.
     MinionDraining {
-        /// Incarnation.
+        /// Name of the incarnation.
         minion: MinionId,
-        /// Number of the report that said so.
+        /// Sequence number of the report that said so.
         sequence: u64,
     },
-    /// A minion has said that it ends now.
+    /// A minion announced its exit.
     MinionLeft {
-        /// Incarnation.
+        /// Name of the incarnation.
         minion: MinionId,
-        /// Runs that are not known to be over.
+        /// Number of its runs that are not known to have ended.
         runs: usize,
     },
-    /// A minion does not answer.
+    /// A minion stopped answering holds.
     MinionSilent {
-        /// Incarnation.
+        /// Name of the incarnation.
         minion: MinionId,
-        /// What the call brought.
+        /// Outcome of the call.
         brought: &'static str,
-        /// Since its last answer.
+        /// Time since its last message.
         heard: Duration,
-        /// Runs that may go on there.
+        /// Number of its runs, which may continue.
         runs: usize,
     },
-    /// A minion is gone for good, or its lease is over.
+    /// A minion is gone, or its lease expired.
     MinionGone {
-        /// Incarnation.
+        /// Name of the incarnation.
         minion: MinionId,
-        /// What shows it.
+        /// Evidence for it.
         why: &'static str,
-        /// Since its last answer.
+        /// Time since its last message.
         heard: Duration,
-        /// Runs that ended with it.
+        /// Number of runs that ended with it.
         runs: usize,
     },
-    /// A minion crashed soon after it was told to start a run.
+    /// The crash of a minion was counted against a task whose run may have caused it.
     CrashCounted {
-        /// Task.
+        /// Task that the crash is counted against.
         task: TaskId,
-        /// Run.
+        /// Number of its run on the minion.
         run: RunNumber,
-        /// Incarnation.
+        /// Name of the incarnation.
         minion: MinionId,
-        /// Whether the run had begun.
+        /// How likely the run caused the crash.
         certainty: Certainty,
     },
-    /// A minion listed rows that could not be read.
+    /// A minion's answer to a hold contained rows that could not be parsed.
     RowsUnreadable {
-        /// Incarnation.
+        /// Name of the incarnation.
         minion: MinionId,
-        /// Rows in this listing.
+        /// Number of such rows in this answer.
         rows: u32,
     },
-    /// Leadership began.
+    /// This replica became the leader.
     LeadBegan {
-        /// Its term, which is the fencing token of all orders.
+        /// Term of the leadership, which is the fencing token of all its orders.
         term: Term,
-        /// Runs that earlier leaders left.
+        /// Number of active runs placed by earlier leaders.
         runs: usize,
-        /// Open jobs.
+        /// Number of jobs that have not ended.
         jobs: usize,
-        /// Configuration in force.
+        /// Version of the configuration in force; 0 for none.
         config: ConfigVersion,
     },
-    /// A configuration came in force.
+    /// A configuration took effect.
     ConfigInForce {
-        /// Its version.
+        /// Version of the configuration.
         version: ConfigVersion,
-        /// Queues in it.
+        /// Number of queues in it.
         queues: usize,
     },
-    /// What the policy service said about a step.
+    /// A question to the policy service was answered or failed.
     StepAdvised {
-        /// Step.
+        /// Step that the question was about.
         step: StepId,
-        /// Tasks that wait.
+        /// Number of waiting tasks of the step.
         waiting: usize,
-        /// Minions asked about.
+        /// Number of minions in the question.
         asked: usize,
-        /// Those that may run it; `None` when no answer came.
+        /// Number of minions that may run the step; `None` when no answer came.
         good: Option<usize>,
-        /// Since the question was handed out.
+        /// Time since the question was sent.
         took: Duration,
     },
-    /// A run is stopped to make room for more urgent work.
+    /// A run is stopped to free resources for more urgent work.
     RunPreempted {
-        /// Task.
+        /// Task that the run belongs to.
         task: TaskId,
-        /// Run.
+        /// Number of the run.
         run: RunNumber,
-        /// The step that gets the room.
+        /// Step that the resources are freed for.
         by: StepId,
     },
-    /// A step still waits for minions.
+    /// Periodic: a step has waiting tasks.
     StepWaits {
-        /// Step.
+        /// Step that waits.
         step: StepId,
-        /// Tasks that wait.
+        /// Number of waiting tasks.
         waiting: usize,
-        /// Since the job was accepted.
+        /// Time since the job was accepted.
         age: Duration,
-        /// Minions that the policy lets run it, as far as known.
+        /// Number of minions that the policy service is known to allow.
         good: usize,
-        /// Those with a valid ticket.
+        /// Number of minions that suit the step; where a policy applies, those with a valid ticket.
         tickets: usize,
-        /// Those with a valid ticket and room.
+        /// Number of those that have enough free resources.
         room: usize,
-        /// Whether a question about it is on the way.
+        /// Whether a question about the step is open.
         asked: bool,
-        /// Whether it waits for the limit of its workspace.
+        /// Whether the step waits because its workspace is at its limit.
         limited: bool,
-        /// Whether its job is beyond what its workspace may count on.
+        /// Whether its job exceeds the guaranteed rate of its workspace.
         surplus: bool,
     },
-    /// What a workspace has running and what waits.
+    /// Periodic: resource usage of a workspace that has a limit.
     WorkspaceUse {
-        /// Which.
+        /// Name of the workspace.
         workspace: WorkspaceName,
-        /// What it has running.
+        /// Resources of its active runs.
         used: Resources,
-        /// What it may have.
+        /// Limit on `used`.
         limit: Resources,
-        /// Its tasks that wait, for whatever reason.
+        /// Number of its waiting tasks, for any reason.
         waiting: usize,
-        /// Those of them whose steps wait for its limit.
+        /// Number of those that wait because of the limit.
         limited: usize,
     },
-    /// The whole cell, as the leader counts it.
+    /// Periodic: totals of the whole cell.
     Cell {
-        /// Minions that take work.
+        /// Number of minions that accept new runs.
         minions: usize,
-        /// Room given away.
+        /// Resources reserved on those minions.
         used: Resources,
-        /// Room of the minions that take work.
+        /// Total capacity of the minions that accept new runs.
         capacity: Resources,
-        /// Tasks that wait.
+        /// Number of waiting tasks.
         waiting: usize,
-        /// Steps that wait.
+        /// Number of steps with waiting tasks.
         steps: usize,
-        /// Questions to the policy service on the way.
+        /// Number of open questions to the policy service.
         questions: usize,
-        /// Processes that ask them.
+        /// Number of agents that questions can be sent through.
         agents: usize,
     },
 }
--- a/src/batch/rank.rs
+++ b/src/batch/rank.rs
@@ -1,9 +1,9 @@
-//! Numbers that order minions differently for each one who chooses among them.
+//! Rendezvous hashing: ranks minions in a different order for each chooser.
 
 use super::model::MinionNumber;
 
-/// A number drawn from a minion and from who chooses, by the mixing step of SplitMix64: equal pairs
-/// give equal numbers, similar ones unlike numbers.
+/// Hash of a minion and a chooser, by the mixing step of SplitMix64: equal pairs get equal ranks,
+/// and similar pairs get unrelated ones.
 pub(super) fn rank(minion: MinionNumber, chooser: u64) -> u64 {
     let mut mixed = (u64::from(minion) << 32 ^ chooser).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/src/batch/server.rs
+++ b/src/batch/server.rs
@@ -1,4 +1,4 @@
-//! The control daemon's side of calls: answers entry hosts and followers, and its own HTTP face.
+//! The control daemon's server for calls of entry hosts, followers, and its own HTTP server.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -21,57 +21,57 @@
 use crate::task::AbortOnDrop;
 use crate::wire::{self, CellKeys, FrameReader, FrameWriter};
 
-/// Time for a new connection to prove itself.
+/// Timeout for the authentication of a new connection.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a failed accept: out of descriptors, most likely.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Time for a peer to take what it is sent, after which it counts as gone.
+/// Delay after a failed accept, most likely for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Timeout for writing to a peer; then the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Silence after which a peer counts as gone. A healthy one asks for a sign of life within 2 s when
-/// nothing else is said, and a hold that it sends on is answered within 2.3 s. A connection can fall
-/// silent without a reset, and its peer may be lost for good: orders to minions and questions went
-/// on being given to it, each to be lost.
-const PEER_SILENCE: Duration = Duration::from_secs(5);
+/// Time without messages after which a connection is closed. A healthy peer sends a ping after at
+/// most 2 s without other messages, and answers a forwarded hold within 2.3 s. A connection can
+/// stall without a reset when its peer is gone for good; orders and questions given to it would be
+/// lost.
+const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers calls on the state that this replica holds.
+/// Answers calls from this replica's state; clones share it.
 #[derive(Clone)]
 pub struct CallServer {
     replica: ReplicaHandle<Machine>,
     keys: CellKeys,
     agents: Agents,
-    /// Address of this machine.
-    own: IpAddr,
+    /// Address of this host; agents that connect from it are not given orders.
+    host_ip: IpAddr,
     connections: Arc<AtomicU64>,
     log: Logger,
 }
 
 impl CallServer {
-    /// A server in front of a replica.
+    /// Creates a server for a replica on the host with the address `host_ip`.
     pub fn new(
         replica: ReplicaHandle<Machine>,
         keys: CellKeys,
         agents: Agents,
-        own: IpAddr,
+        host_ip: IpAddr,
         log: Logger,
     ) -> Self {
         Self {
             replica,
             keys,
             agents,
-            own,
+            host_ip,
             connections: Arc::default(),
             log,
         }
     }
 
-    /// Whether this replica leads, as far as it knows.
+    /// Whether this replica believes that it leads; another one may already have been elected.
     pub fn leads(&self) -> bool {
         let status = self.replica.status();
         let status = status.borrow();
         status.leader == Some(status.id)
     }
 
-    /// Answers one call if this replica leads.
+    /// Answers a call, with `NotLeader` unless this replica leads.
     pub async fn answer(&self, call: Call) -> CallReply {
         match call {
             Call::Client(call) => {
@@ -83,12 +83,12 @@
                 }
             }
             Call::Report(report) => {
-                let told = self.replica.leased(move |m, now| m.report(now, *report));
-                accepted(told.await)
+                let reported = self.replica.leased(move |m, now| m.report(now, *report));
+                accepted(reported.await)
             }
             Call::Left(id) => {
-                let told = self.replica.leased(move |m, now| m.left(now, &id));
-                accepted(told.await)
+                let reported = self.replica.leased(move |m, now| m.minion_left(now, &id));
+                accepted(reported.await)
             }
             Call::PutConfig(order) => {
                 let version = order.version;
@@ -143,7 +143,7 @@
         self.replica.propose(bytes).await
     }
 
-    /// Accepts connections for as long as the process lives.
+    /// Accepts connections; never returns.
     pub async fn serve(self, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -155,7 +155,7 @@
                         }
                     });
                 }
-                Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
@@ -163,21 +163,21 @@
     async fn connection(&self, stream: TcpStream) -> Result<()> {
         let accepted = timeout(HANDSHAKE_TIMEOUT, wire::accept(stream, &self.keys)).await;
         let (reader, writer) = accepted
-            .map_err(|_| Error::new(Step::Handshake, "the peer did not prove itself in time"))??;
+            .map_err(|_| Error::new(Step::Handshake, "the peer did not authenticate in time"))??;
         let id = self.connections.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = mpsc::unbounded_channel();
         let writing = tokio::spawn(write_all(writer, rx));
         let done = self.read_all(reader, id, &tx).await;
         let (orders, questions) = self.agents.remove(id);
         let agents = self.agents.count();
-        let lost = self.replica.inform(move |m, now| {
+        let reported = self.replica.inform(move |m, now| {
             m.set_agents(agents);
-            m.answered(now, orders);
+            m.orders_answered(now, orders);
             for question in questions {
-                m.advised(now, question, None);
+                m.advice_received(now, question, None);
             }
         });
-        lost.await;
+        reported.await;
         drop(tx);
         writing.abort();
         done
@@ -188,9 +188,9 @@
         id: AgentId,
         tx: &mpsc::UnboundedSender<Down>,
         zone: &ZoneName,
-        own: bool,
+        on_this_host: bool,
     ) {
-        self.agents.add(id, tx.clone(), zone.clone(), own);
+        self.agents.add(id, tx.clone(), zone.clone(), on_this_host);
         let agents = self.agents.count();
         self.replica.inform(move |m, _| m.set_agents(agents)).await;
     }
@@ -202,11 +202,12 @@
         tx: &mpsc::UnboundedSender<Down>,
     ) -> Result<()> {
         let mut status = self.replica.status();
-        let (mut last, message) = greeting(&status.borrow_and_update());
+        let (mut last_sent, message) = lead_message(&status.borrow_and_update());
         let _ = tx.send(message);
-        // Only processes that say hello take orders; others listen for changes of leader.
+        // Peers that send a hello act as agents; others only follow leader changes.
         let mut zone: Option<ZoneName> = None;
-        let own = reader.peer().split(':').next() == Some(self.own.to_string().as_str());
+        let on_this_host =
+            reader.peer().split(':').next() == Some(self.host_ip.to_string().as_str());
         let (frames_tx, mut frames) = mpsc::channel::<Up>(64);
         let reading = tokio::spawn(async move {
             while let Ok(Some(up)) = reader.read::<Up>().await {
@@ -216,23 +217,23 @@
             }
         });
         let _reading = AbortOnDrop(reading);
-        let mut heard = Instant::now();
+        let mut last_received = Instant::now();
         loop {
             tokio::select! {
                 up = frames.recv() => {
-                    heard = Instant::now();
+                    last_received = Instant::now();
                     match up {
                         None => return Ok(()),
-                        Some(Up::Hello(named)) => {
-                            if last.0 {
-                                self.add_agent(id, tx, &named, own).await;
+                        Some(Up::Hello(peer_zone)) => {
+                            if last_sent.0 {
+                                self.add_agent(id, tx, &peer_zone, on_this_host).await;
                             }
-                            zone = Some(named);
+                            zone = Some(peer_zone);
                         }
-                        Some(up) => self.take(id, tx, up).await,
+                        Some(up) => self.handle(id, tx, up).await,
                     }
                 }
-                () = sleep_until(heard + PEER_SILENCE) => {
+                () = sleep_until(last_received + PEER_TIMEOUT) => {
                     return Err(Error::new(Step::Transfer, "the connection fell silent"));
                 }
                 () = tx.closed() => {
@@ -242,24 +243,24 @@
                     if changed.is_err() {
                         return Ok(());
                     }
-                    let (next, message) = greeting(&status.borrow_and_update());
-                    if next != last {
+                    let (next, message) = lead_message(&status.borrow_and_update());
+                    if next != last_sent {
                         let _ = tx.send(message);
                         if let Some(zone) = &zone
                             && next.0
-                            && !last.0
+                            && !last_sent.0
                         {
-                            self.add_agent(id, tx, zone, own).await;
+                            self.add_agent(id, tx, zone, on_this_host).await;
                         }
-                        last = next;
+                        last_sent = next;
                     }
                 }
             }
         }
     }
 
-    /// Takes a message of a peer that has said who it is.
-    async fn take(&self, id: AgentId, tx: &mpsc::UnboundedSender<Down>, up: Up) {
+    /// Handles a message other than a hello.
+    async fn handle(&self, id: AgentId, tx: &mpsc::UnboundedSender<Down>, up: Up) {
         match up {
             Up::Call(number, call) => {
                 let (server, tx) = (self.clone(), tx.clone());
@@ -268,39 +269,42 @@
                     let _ = tx.send(Down::Reply(number, reply));
                 });
             }
-            Up::Done(answers) => {
-                let answers = self.agents.done(id, answers);
-                let told = self.replica.inform(move |m, now| m.answered(now, answers));
-                told.await;
+            Up::OrderAnswers(answers) => {
+                let outcomes = self.agents.orders_answered(id, answers);
+                let reported = self
+                    .replica
+                    .inform(move |m, now| m.orders_answered(now, outcomes));
+                reported.await;
             }
-            Up::Advised(question, advice) => {
-                self.agents.answered(id, question);
-                let told = self
+            Up::Advice(question, advice) => {
+                self.agents.question_answered(id, question);
+                let reported = self
                     .replica
-                    .inform(move |m, now| m.advised(now, question, advice));
-                told.await;
+                    .inform(move |m, now| m.advice_received(now, question, advice));
+                reported.await;
             }
             Up::Ping(number) => {
                 let _ = tx.send(Down::Pong(number));
             }
-            // The caller takes it.
+            // Handled by `read_all`.
             Up::Hello(_) => {}
         }
     }
 }
 
-type Known = (bool, Option<SocketAddr>, Vec<SocketAddr>);
+/// Whether this replica leads, the leader's address, and the addresses of the members.
+type LeaderInfo = (bool, Option<SocketAddr>, Vec<SocketAddr>);
 
-fn greeting(status: &ReplicaStatus) -> (Known, Down) {
-    let here = status.leader == Some(status.id);
-    let known = (here, status.leader_addr, status.call_addrs.clone());
+fn lead_message(status: &ReplicaStatus) -> (LeaderInfo, Down) {
+    let is_leader = status.leader == Some(status.id);
+    let info = (is_leader, status.leader_addr, status.call_addrs.clone());
     let message = Down::Lead {
-        here,
+        is_leader,
         term: status.term,
         leader: status.leader_addr,
         members: status.call_addrs.clone(),
     };
-    (known, message)
+    (info, message)
 }
 
 fn not_leader(e: &ReadError) -> CallReply {
@@ -310,8 +314,8 @@
     }
 }
 
-fn accepted(told: Result<(), ReadError>) -> CallReply {
-    match told {
+fn accepted(reported: Result<(), ReadError>) -> CallReply {
+    match reported {
         Ok(()) => CallReply::Operator(OperatorReply::Accepted),
         Err(e) => not_leader(&e),
     }
@@ -334,18 +338,18 @@
     }
 }
 
-/// Reaches the leader from a control daemon: directly when it leads itself, over the link
-/// otherwise.
+/// Client of the leader in a control daemon: calls this replica directly while it leads, and
+/// another leader over the link.
 #[derive(Clone)]
 pub struct ToLeader {
-    /// Answers when this replica leads.
+    /// Used while this replica leads.
     pub local: CallServer,
-    /// The way to another leader.
+    /// Used while another replica leads.
     pub link: LeaderLink,
 }
 
 impl ToLeader {
-    /// Calls the leader, whoever it is.
+    /// Calls the current leader until one answers or the deadline passes.
     pub async fn call(&self, call: Call, deadline: Instant) -> Result<CallReply, NoAnswer> {
         if self.local.leads() {
             match timeout(deadline - Instant::now(), self.local.answer(call.clone())).await {
--- a/src/batch/telling.rs
+++ b/src/batch/telling.rs
@@ -1,4 +1,4 @@
-//! Notes as log lines and as metrics.
+//! Writes the dispatcher's notes to the log and to the metrics.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use super::note::Note;
 
-/// Writes a note as one line of the log.
+/// Writes a note as one log line. Workspaces that are below their limit are not logged.
 pub(crate) fn write_note(log: &Logger, note: &Note) {
     let ms = |d: &Duration| d.as_millis() as u64;
     match note {
@@ -154,7 +154,7 @@
     }
 }
 
-/// Counts a note.
+/// Updates the metrics for a note.
 pub(crate) fn count_note(note: &Note) {
     match note {
         Note::JobAccepted { unstarted, .. } => {
--- a/src/batch/watch.rs
+++ b/src/batch/watch.rs
@@ -1,8 +1,8 @@
-//! A second connection, to a member that does not lead, which tells when another leader is elected.
+//! A second connection, to a member that does not lead, which reports newly elected leaders.
 //!
-//! A leader that freezes or is cut off says nothing, and its connection takes most of a second to
-//! count as silent. The others know of its successor at once: entry hosts that hear it from them
-//! were back 0.1 s after the election instead of 0.6 to 1.0 s.
+//! When the leader hangs or is partitioned, detecting that on its own connection takes most of a
+//! second. The other members learn of the new leader immediately: with their notice, entry hosts
+//! reconnected 0.1 s after the election instead of 0.6 to 1.0 s.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,39 +17,39 @@
 use crate::ids::Term;
 use crate::wire::{self, CellKeys};
 
-/// Time for a connection to be opened and proved.
+/// Timeout for opening and authenticating a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause before another member is tried.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Silence after which the member is asked for a sign of life. Being told late costs no more than
-/// having no second connection.
-const QUIET: Duration = Duration::from_secs(2);
-/// Time for that sign.
+/// Delay before connecting to another member.
+const RECONNECT_DELAY: Duration = Duration::from_millis(250);
+/// Time without messages after which the member is pinged. It may be long: a late notice is no
+/// worse than having no second connection.
+const PING_AFTER: Duration = Duration::from_secs(2);
+/// Time to wait for the answer to a ping.
 const PONG_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Members of the group, and who leads it.
+/// Members of the replication group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(super) struct Members {
-    /// Where they answer calls.
+    /// Addresses at which the members answer calls.
     pub(super) all: BTreeSet<SocketAddr>,
-    /// The one that is connected as leader.
+    /// Address of the leader that this process is connected to; `None` while it has none.
     pub(super) leader: Option<SocketAddr>,
 }
 
-/// A leader that a member knows of.
+/// A leader reported by a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Elected {
-    /// Its term.
+pub(super) struct ElectedLeader {
+    /// Term in which it was elected.
     pub(super) term: Term,
-    /// Where it answers calls.
+    /// Address at which it answers calls.
     pub(super) addr: SocketAddr,
 }
 
-/// Listens to one member after the other for as long as somebody wants to know.
-pub(super) async fn watch(
+/// Follows one non-leader member after another, until all receivers of `elected` are dropped.
+pub(super) async fn watch_elections(
     members: watch::Receiver<Members>,
     keys: CellKeys,
-    elected: watch::Sender<Option<Elected>>,
+    elected: watch::Sender<Option<ElectedLeader>>,
 ) {
     while !elected.is_closed() {
         let chosen = {
@@ -58,20 +58,20 @@
             others.copied().choose(&mut rand::rng())
         };
         if let Some(addr) = chosen {
-            // Whatever ends it, another member is listened to next.
-            let _ = listen(addr, &keys, &elected).await;
+            // On any error, continue with another member.
+            let _ = follow_member(addr, &keys, &elected).await;
         }
-        sleep(PAUSE).await;
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
-async fn listen(
+async fn follow_member(
     addr: SocketAddr,
     keys: &CellKeys,
-    elected: &watch::Sender<Option<Elected>>,
+    elected: &watch::Sender<Option<ElectedLeader>>,
 ) -> Result<()> {
     let opened = timeout(CONNECT_TIMEOUT, async {
-        let stream = wire::dial(addr, QUIET + PONG_TIMEOUT).await?;
+        let stream = wire::dial(addr, PING_AFTER + PONG_TIMEOUT).await?;
         wire::split_client(stream, keys).await
     });
     let (mut reader, mut writer) = opened
@@ -79,22 +79,24 @@
         .map_err(|_| Error::new(Step::Connect, "no connection in time").with_peer(addr))??;
     let mut pinged = false;
     loop {
-        let patience = if pinged { PONG_TIMEOUT } else { QUIET };
-        match timeout(patience, reader.read::<Down>()).await {
+        let read_timeout = if pinged { PONG_TIMEOUT } else { PING_AFTER };
+        match timeout(read_timeout, reader.read::<Down>()).await {
             Ok(down) => {
                 pinged = false;
                 match down? {
                     Some(Down::Lead {
-                        here: true, term, ..
+                        is_leader: true,
+                        term,
+                        ..
                     }) => {
-                        tell(elected, Elected { term, addr });
+                        publish(elected, ElectedLeader { term, addr });
                         return Ok(());
                     }
                     Some(Down::Lead {
                         leader: Some(leader),
                         term,
                         ..
-                    }) => tell(elected, Elected { term, addr: leader }),
+                    }) => publish(elected, ElectedLeader { term, addr: leader }),
                     Some(_) => {}
                     None => return Ok(()),
                 }
@@ -111,8 +113,8 @@
     }
 }
 
-/// Passes on what is newer than what is known; members that are behind name earlier leaders.
-fn tell(elected: &watch::Sender<Option<Elected>>, new: Elected) {
+/// Publishes a leader if its term is newer; members that lag behind report earlier leaders.
+fn publish(elected: &watch::Sender<Option<ElectedLeader>>, new: ElectedLeader) {
     elected.send_if_modified(|known| {
         let newer = known.is_none_or(|known| new.term > known.term);
         if newer {
--- a/src/batch/workspaces.rs
+++ b/src/batch/workspaces.rs
@@ -1,4 +1,4 @@
-//! Workspaces: who a caller is, and how much its workspace may run.
+//! Workspaces: identification of callers by API key, and limits on what a workspace may run.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,15 +8,15 @@
 use crate::ids::WorkspaceName;
 use crate::resources::Resources;
 
-/// Domain of the hashes, so that they are of no use elsewhere.
+/// Domain separation: these hashes match no hashes of the same keys made for other purposes.
 const KEY_CONTEXT: &str = "yuccahold 2026-12 api key of a workspace";
 
-/// Hash of an API key. The key itself stands in the operator's document alone.
+/// Hash of an API key. The key itself is kept only in the operator's document.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct KeyHash([u8; 32]);
 
 impl KeyHash {
-    /// Hashes a key.
+    /// Hashes the text of a key.
     pub fn of(key: &[u8]) -> Self {
         Self(blake3::derive_key(KEY_CONTEXT, key))
     }
@@ -31,44 +31,45 @@
 /// A workspace as the configuration declares it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Jobs a second that it may count on; also its share when all is full.
+    /// Guaranteed rate in jobs per second; also its share under contention.
     pub weight: f64,
-    /// What it may have running over all minions; zero of a unit is no limit on it.
+    /// Most that its running tasks may use over all minions; zero means that a resource is not
+    /// limited.
     pub limit: Resources,
 }
 
 /// All workspaces of a configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Workspaces {
-    /// Each by its name.
+    /// Declared workspaces.
     pub by_name: BTreeMap<WorkspaceName, Workspace>,
-    /// Whose each key is.
+    /// Workspace that each valid key belongs to.
     pub keys: BTreeMap<KeyHash, WorkspaceName>,
 }
 
-/// Who makes a call, as far as its queue asks.
+/// Identity of a caller, as far as the queue requires one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Caller {
-    /// The queue is open to all.
-    Anyone,
-    /// The owner of the key that came with the call.
+    /// Not identified: the queue is public, or the configuration has no workspaces.
+    Anonymous,
+    /// The workspace that the key of the call belongs to.
     Workspace(WorkspaceName),
 }
 
 impl Caller {
-    /// Whose jobs this caller hands in.
+    /// Owner of the jobs that this caller submits.
     pub fn into_owner(self) -> Option<WorkspaceName> {
         match self {
-            Self::Anyone => None,
+            Self::Anonymous => None,
             Self::Workspace(name) => Some(name),
         }
     }
 
-    /// Whether it may read, repeat or cancel a job. A job without an owner was handed in while its
-    /// queue was open.
-    pub fn may_see(&self, owner: Option<&WorkspaceName>) -> bool {
+    /// Whether the caller may read, resubmit or cancel a job. A job without an owner was submitted
+    /// while its queue was public, so every caller may.
+    pub fn may_access(&self, owner: Option<&WorkspaceName>) -> bool {
         match (self, owner) {
-            (Self::Anyone, _) | (_, None) => true,
+            (Self::Anonymous, _) | (_, None) => true,
             (Self::Workspace(name), Some(owner)) => name == owner,
         }
     }
--- a/tests/batch_link.rs
+++ b/tests/batch_link.rs
@@ -1,4 +1,4 @@
-//! The way to the leader, with control daemons that a test plays over real connections.
+//! The link to the leader, tested with simulated control daemons over real connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,17 +18,17 @@
 use yuccahold::ids::Term;
 use yuccahold::wire::{self, CellKey, CellKeys};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn keys() -> CellKeys {
     CellKeys::new([CellKey::from_text("a key for tests")]).expect("one key")
 }
 
-/// Calls nobody.
+/// Client whose calls all fail.
 #[derive(Clone)]
-struct Nobody;
+struct NoMinions;
 
-impl Minions for Nobody {
+impl Minions for NoMinions {
     async fn start(&self, _: &Target, _: &StartOrder) -> Answer {
         Answer::Silent(Silence::Lost)
     }
@@ -42,45 +42,45 @@
     }
 }
 
-impl Policy for Nobody {
+impl Policy for NoMinions {
     async fn advise(&self, _: &AdviceQuestion) -> Option<Advice> {
         None
     }
 }
 
-/// A control daemon: what it is sent, and what it says on each connection.
+/// A simulated control daemon: the messages it receives, and a sender for each connection.
 struct Control {
     addr: SocketAddr,
-    heard: UnboundedReceiver<Up>,
-    opened: UnboundedReceiver<UnboundedSender<Down>>,
+    received: UnboundedReceiver<Up>,
+    connections: UnboundedReceiver<UnboundedSender<Down>>,
 }
 
-/// Whether a control daemon gives signs of life by itself.
+/// Whether a control daemon answers pings.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Health {
-    Alive,
-    Frozen,
+enum Behavior {
+    Responsive,
+    Hung,
 }
 
 impl Control {
-    async fn start(health: Health) -> Self {
+    async fn start(behavior: Behavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("bound");
-        let (heard_tx, heard) = mpsc::unbounded_channel();
-        let (opened_tx, opened) = mpsc::unbounded_channel();
+        let (received_tx, received) = mpsc::unbounded_channel();
+        let (connections_tx, connections) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let Ok((mut reader, mut writer)) = wire::accept(stream, &keys()).await else {
                     continue;
                 };
                 let (tx, mut rx) = mpsc::unbounded_channel::<Down>();
-                let (heard, signs) = (heard_tx.clone(), tx.clone());
+                let (received, pongs) = (received_tx.clone(), tx.clone());
                 tokio::spawn(async move {
                     while let Ok(Some(up)) = reader.read::<Up>().await {
-                        if let (Up::Ping(number), Health::Alive) = (&up, health) {
-                            let _ = signs.send(Down::Pong(*number));
+                        if let (Up::Ping(number), Behavior::Responsive) = (&up, behavior) {
+                            let _ = pongs.send(Down::Pong(*number));
                         }
-                        let _ = heard.send(up);
+                        let _ = received.send(up);
                     }
                 });
                 tokio::spawn(async move {
@@ -90,71 +90,70 @@
                         }
                     }
                 });
-                let _ = opened_tx.send(tx);
+                let _ = connections_tx.send(tx);
             }
         });
         Self {
             addr,
-            heard,
-            opened,
+            received,
+            connections,
         }
     }
 
     async fn connection(&mut self) -> UnboundedSender<Down> {
-        let opened = timeout(PATIENCE, self.opened.recv()).await;
+        let opened = timeout(TEST_TIMEOUT, self.connections.recv()).await;
         opened.expect("a connection in time").expect("it listens")
     }
 
-    async fn hears(&mut self) -> Up {
-        let heard = timeout(PATIENCE, self.heard.recv()).await;
-        heard.expect("a message in time").expect("it listens")
+    async fn receive(&mut self) -> Up {
+        let received = timeout(TEST_TIMEOUT, self.received.recv()).await;
+        received.expect("a message in time").expect("it listens")
     }
 }
 
 fn link_from(seed: SocketAddr) -> LeaderLink {
     let calls = Calls {
-        minions: Nobody,
-        policy: Nobody,
+        minions: NoMinions,
+        policy: NoMinions,
         zone: "mixco".into(),
     };
     let log = Logger::root(Discard, o!());
     LeaderLink::start(vec![seed], keys(), calls, log)
 }
 
-fn lead(here: bool, term: Term, leader: SocketAddr, members: &[SocketAddr]) -> Down {
+fn lead_message(is_leader: bool, term: Term, leader: SocketAddr, members: &[SocketAddr]) -> Down {
     Down::Lead {
-        here,
+        is_leader,
         term,
         leader: Some(leader),
         members: members.to_vec(),
     }
 }
 
-/// The leader freezes: its connection stays open and says nothing. Another member tells of the
-/// leader elected in its place, and the next call goes there. Without that the link would first
-/// have asked the frozen one for a sign of life and waited for it in vain, most of a second for
-/// which every caller waits as well.
+/// The leader hangs: its connection stays open without messages. Another member reports the newly
+/// elected leader, and the next call must go there. Without the report, the link would first have
+/// to ping the hung leader and wait for the timeout, delaying every caller by most of a second.
 #[tokio::test]
-async fn another_member_tells_of_a_new_leader() {
-    let mut frozen = Control::start(Health::Frozen).await;
-    let mut follower = Control::start(Health::Alive).await;
-    let mut next = Control::start(Health::Alive).await;
-    let members = [frozen.addr, follower.addr];
-    let link = link_from(frozen.addr);
-    let greeting = lead(true, 1, frozen.addr, &members);
-    let _open = frozen.connection().await.send(greeting);
-    assert!(matches!(frozen.hears().await, Up::Hello(_)));
+async fn another_member_reports_a_new_leader() {
+    let mut hung = Control::start(Behavior::Hung).await;
+    let mut follower = Control::start(Behavior::Responsive).await;
+    let mut next = Control::start(Behavior::Responsive).await;
+    let members = [hung.addr, follower.addr];
+    let link = link_from(hung.addr);
+    let greeting = lead_message(true, 1, hung.addr, &members);
+    let _open = hung.connection().await.send(greeting);
+    assert!(matches!(hung.receive().await, Up::Hello(_)));
 
     let second = follower.connection().await;
-    let _ = second.send(lead(false, 1, frozen.addr, &members));
-    let _ = second.send(lead(false, 2, next.addr, &members));
+    let _ = second.send(lead_message(false, 1, hung.addr, &members));
+    let _ = second.send(lead_message(false, 2, next.addr, &members));
     let at_next = next.connection().await;
-    let _ = at_next.send(lead(true, 2, next.addr, &members));
-    assert!(matches!(next.hears().await, Up::Hello(_)));
+    let _ = at_next.send(lead_message(true, 2, next.addr, &members));
+    assert!(matches!(next.receive().await, Up::Hello(_)));
 
-    let call = link.call(Call::GetConfig, Instant::now() + PATIENCE);
+    let call = link.call(Call::GetConfig, Instant::now() + TEST_TIMEOUT);
     let answer = async {
-        let Up::Call(number, Call::GetConfig) = next.hears().await else {
+        let Up::Call(number, Call::GetConfig) = next.receive().await else {
             panic!("a call was expected");
         };
         let reply = CallReply::Operator(OperatorReply::Unavailable);
@@ -162,35 +161,35 @@
     };
     let (reply, ()) = tokio::join!(call, answer);
     assert_eq!(reply, Ok(CallReply::Operator(OperatorReply::Unavailable)));
-    assert!(frozen.heard.try_recv().is_err(), "it was not asked again");
+    assert!(hung.received.try_recv().is_err(), "it was not called again");
 }
 
-/// A member that is behind names an earlier leader. The link stays where it is.
+/// A lagging member reports an earlier leader. The link must stay with the current one.
 #[tokio::test]
-async fn a_member_that_is_behind_changes_nothing() {
-    let mut leader = Control::start(Health::Alive).await;
-    let mut behind = Control::start(Health::Alive).await;
-    let mut earlier = Control::start(Health::Alive).await;
-    let members = [leader.addr, behind.addr];
+async fn a_report_of_an_earlier_leader_is_ignored() {
+    let mut leader = Control::start(Behavior::Responsive).await;
+    let mut lagging = Control::start(Behavior::Responsive).await;
+    let mut earlier = Control::start(Behavior::Responsive).await;
+    let members = [leader.addr, lagging.addr];
     let link = link_from(leader.addr);
     let at_leader = leader.connection().await;
-    let _ = at_leader.send(lead(true, 5, leader.addr, &members));
-    assert!(matches!(leader.hears().await, Up::Hello(_)));
-    let second = behind.connection().await;
-    let _ = second.send(lead(false, 4, earlier.addr, &members));
-    // It is heard before the next message of the same connection is answered with a ping.
-    assert!(matches!(behind.hears().await, Up::Ping(_)));
+    let _ = at_leader.send(lead_message(true, 5, leader.addr, &members));
+    assert!(matches!(leader.receive().await, Up::Hello(_)));
+    let second = lagging.connection().await;
+    let _ = second.send(lead_message(false, 4, earlier.addr, &members));
+    // The link pings this connection only after it has read the message above.
+    assert!(matches!(lagging.receive().await, Up::Ping(_)));
     assert!(link.is_connected());
-    assert!(earlier.opened.try_recv().is_err());
+    assert!(earlier.connections.try_recv().is_err());
 }
 
-/// All control hosts are without power. A caller that comes at first waits for the next leader;
-/// one that comes later is refused at once and told to come back after as long as the outage has
-/// lasted, so that its few tries reach past the end of it.
+/// All control hosts are down. Early calls wait for the next leader. Later ones are refused
+/// immediately, with a retry delay equal to the length of the outage so far, so that the callers'
+/// few retries last beyond its end.
 #[rstest]
-#[case::just_lost(0, 1_000, 1_000)]
-#[case::being_elected(600, 400, 1_000)]
-#[case::no_election_takes_that_long(1_000, 0, 1_000)]
+#[case::leader_just_lost(0, 1_000, 1_000)]
+#[case::during_an_election(600, 400, 1_000)]
+#[case::longer_than_any_election(1_000, 0, 1_000)]
 #[case::an_outage(3_200, 0, 3_200)]
 #[case::a_long_outage(60_000, 0, 5_000)]
 fn callers_without_a_leader(#[case] absent: u64, #[case] wait: u64, #[case] retry: u64) {
--- a/tests/batch_server.rs
+++ b/tests/batch_server.rs
@@ -1,4 +1,4 @@
-//! The control daemon's side of connections that others keep to it.
+//! The control daemon's side of connections from agents.
 
 mod batch_world;
 
@@ -18,15 +18,15 @@
 use yuccahold::replication::{Formation, Replica, ReplicaConfig};
 use yuccahold::wire::{self, CellKey, CellKeys, FrameReader, FrameWriter};
 
-const PATIENCE: Duration = Duration::from_secs(15);
-/// Time for which a stuck peer is allowed to cost orders and questions.
-const LONGEST_STUCK: Duration = Duration::from_secs(8);
+const TEST_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time within which a stuck peer must be removed from the agents.
+const MAX_DETECTION_TIME: Duration = Duration::from_secs(8);
 
 fn keys() -> CellKeys {
     CellKeys::new([CellKey::from_text("a test key")]).expect("one key")
 }
 
-/// A group of one that leads, and its server of calls.
+/// A replica that leads a group of one, and its call server.
 struct Control {
     addr: SocketAddr,
     agents: Agents,
@@ -63,31 +63,42 @@
         let replica = Replica::start(cfg, Machine::new(config(), orders)).expect("it starts");
         let agents = Agents::default();
         let log = Logger::root(Discard, o!());
-        // Its own machine's agents send no orders; the peers of this test are others.
-        let own = Ipv4Addr::new(10, 0, 0, 1).into();
-        let server = CallServer::new(replica, keys(), agents.clone(), own, log);
+        // Agents on the server's host get no orders, so the server has another address than the
+        // peers.
+        let host_ip = Ipv4Addr::new(10, 0, 0, 1).into();
+        let server = CallServer::new(replica, keys(), agents.clone(), host_ip, log);
         tokio::spawn(server.serve(listener));
         Self { addr, agents, data }
     }
 
-    /// A connection of a process that takes orders.
+    /// Connects as an agent.
     async fn agent(&self) -> (FrameReader, FrameWriter) {
         let stream = TcpStream::connect(self.addr).await.expect("it listens");
         let opened = wire::split_client(stream, &keys()).await;
         let (mut reader, mut writer) = opened.expect("the keys are the same");
         let hello = Up::Hello("mixco".into());
         writer.write(&hello).await.expect("it reads");
-        let greeted = timeout(PATIENCE, async {
-            while !matches!(reader.read().await, Ok(Some(Down::Lead { here: true, .. }))) {}
+        let leading = timeout(TEST_TIMEOUT, async {
+            while !matches!(
+                reader.read().await,
+                Ok(Some(Down::Lead {
+                    is_leader: true,
+                    ..
+                }))
+            ) {}
         });
-        greeted.await.expect("it leads");
+        leading.await.expect("it leads");
         (reader, writer)
     }
 
-    async fn until_agents(&self, count: usize) -> Duration {
+    async fn wait_for_agents(&self, count: usize) -> Duration {
         let began = Instant::now();
         while self.agents.count() != count {
-            assert!(began.elapsed() < PATIENCE, "{} agents", self.agents.count());
+            assert!(
+                began.elapsed() < TEST_TIMEOUT,
+                "{} agents",
+                self.agents.count()
+            );
             sleep(Duration::from_millis(20)).await;
         }
         began.elapsed()
@@ -100,24 +111,27 @@
     }
 }
 
-/// An entry host is lost for good, and its connection falls silent without an end. Callers see checks
-/// that are late by seconds: the leader goes on giving the dead process its share of the orders to
-/// minions and of the questions to the policy service, and each has to be given up first.
+/// An entry host fails, and its connection stalls without being closed. Unless the server closes
+/// the connection, the leader keeps giving the failed process its share of the orders and of the
+/// questions to the policy service; each must time out first, which delays jobs by seconds.
 #[tokio::test]
-async fn a_peer_whose_connection_fell_silent_gets_no_more_orders() {
+async fn a_peer_with_a_stalled_connection_gets_no_more_orders() {
     let control = Control::start("peer-silent").await;
     let _silent = control.agent().await;
-    control.until_agents(1).await;
-    let stuck = control.until_agents(0).await;
-    assert!(stuck < LONGEST_STUCK, "for {stuck:?}");
+    control.wait_for_agents(1).await;
+    let detection_time = control.wait_for_agents(0).await;
+    assert!(
+        detection_time < MAX_DETECTION_TIME,
+        "for {detection_time:?}"
+    );
 }
 
-/// A process that has nothing to say but asks for a sign of life, as healthy ones do, is kept.
+/// A healthy peer without other messages sends pings; it must not count as failed.
 #[tokio::test]
-async fn a_peer_that_asks_for_signs_of_life_is_kept() {
+async fn a_peer_that_only_sends_pings_stays_connected() {
     let control = Control::start("peer-kept").await;
     let (_reader, mut writer) = control.agent().await;
-    control.until_agents(1).await;
+    control.wait_for_agents(1).await;
     for number in 0..4 {
         sleep(Duration::from_millis(2_000)).await;
         writer.write(&Up::Ping(number)).await.expect("it reads");
