--- a/benches/access.rs
+++ b/benches/access.rs
@@ -1,5 +1,5 @@
-//! Cost of a call's key: its hash at the entry host, and the leader's answer with a good and with a
-//! wrong one.
+//! Cost of API keys: hashing a key at the entry host, and admitting a call with a valid and with an
+//! unknown key at the leader.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use yuccahold::batch::workspaces::{KeyHash, Workspace, Workspaces};
 use yuccahold::replication::StateMachine;
 
-/// Two keys each.
+/// Numbers of workspaces to measure with; each workspace has two keys.
 const WORKSPACES: [u32; 3] = [20, 160, 1_600];
 
 fn key(workspace: u32, number: u32) -> String {
--- a/tests/batch_ledger.rs
+++ b/tests/batch_ledger.rs
@@ -1,4 +1,4 @@
-//! What the ledger keeps, whatever arrives in whatever order.
+//! The ledger under repeated, reordered and lost messages, and its stored formats.
 
 mod batch_world;
 
@@ -18,8 +18,9 @@
     }
 }
 
-/// Two operators race and answers are lost, so orders arrive again and in any order. The highest
-/// version stays, and other content under its number never comes into force.
+/// Two operators race and responses are lost, so configurations arrive repeatedly and in any order.
+/// The highest version must stay in force, and different content with the same version must be
+/// ignored.
 #[test]
 fn the_highest_configuration_stays() {
     let mut ledger = Ledger::default();
@@ -37,7 +38,7 @@
     insta::assert_debug_snapshot!(snapshot);
 }
 
-/// Files that the program wrote before there were workspaces cannot be read any more.
+/// Guards against snapshots and commands from before workspaces existed becoming unreadable.
 #[test]
 fn files_of_format_2_are_read() {
     let ledger = Ledger::from_bytes(include_bytes!("cases/ledger/format-2-snapshot.bin"));
@@ -51,9 +52,9 @@
     assert_eq!(again, ledger);
 }
 
-/// Jobs that were handed in before there were workspaces stand still.
+/// Guards against jobs submitted before workspaces existed never being scheduled.
 #[test]
-fn jobs_of_format_2_run_on() {
+fn jobs_of_format_2_continue_to_run() {
     let mut world = World::new();
     let snapshot = include_bytes!("cases/ledger/format-2-snapshot.bin");
     world.ledger = Ledger::from_bytes(snapshot).expect("a snapshot");
@@ -63,36 +64,36 @@
     world.submit(JOB + 9, vec![step(2, 1000)]);
     assert_eq!(world.take_starts().len(), 2);
     let runs = world.ledger.ready_steps(JOB + 1);
-    assert_eq!(runs.len(), 1, "its tasks are under way or wait");
+    assert_eq!(runs.len(), 1, "its tasks run or wait");
 }
 
-/// A snapshot or a command of another version of the program is refused by its number.
+/// The error for a snapshot of an unsupported format must name the version.
 #[test]
-fn an_unknown_format_is_refused_by_name() {
+fn an_unknown_format_is_refused_with_its_number() {
     let mut bytes = Ledger::default().to_bytes().expect("writes");
     bytes[0] = 9;
     let e = Ledger::from_bytes(&bytes).expect_err("another format");
     assert!(e.to_string().contains("format 9"), "{e}");
 }
 
-/// Reports one end of the only run under way, of a step with one task.
+/// Starts the only task and reports the given end of its run, with this end number.
 fn end_once(world: &mut World, number: u64, kind: EndKind) {
     let (minion, start) = world.start_all().pop().expect("a start");
     world.take_holds();
     world.end(minion, number, &start, kind);
-    // A minion on which two runs fail in a row gets no work for a second.
+    // A minion with two consecutive failures gets no runs for a second.
     world.pass(ms(9_000));
 }
 
 #[rstest]
 #[case::done(&[EndKind::Done], JobState::Done)]
-#[case::failed_thrice(&[EndKind::Failed, EndKind::Failed, EndKind::Failed], JobState::Failed)]
+#[case::failed_three_times(&[EndKind::Failed, EndKind::Failed, EndKind::Failed], JobState::Failed)]
 #[case::failed_twice_then_done(&[EndKind::Failed, EndKind::Failed, EndKind::Done], JobState::Done)]
-#[case::others_do_not_count(
+#[case::only_failed_ends_count(
     &[EndKind::Stopped, EndKind::Lapsed, EndKind::Broken, EndKind::Failed, EndKind::Done],
     JobState::Done
 )]
-fn attempts_are_counted_by_failed_ends_alone(#[case] ends: &[EndKind], #[case] state: JobState) {
+fn only_failed_runs_count_as_attempts(#[case] ends: &[EndKind], #[case] state: JobState) {
     let mut world = World::new();
     world.join("i-1", 1);
     world.submit(JOB, vec![step(1, 1000)]);
@@ -102,7 +103,7 @@
     assert_eq!(world.ledger.job_state(JOB), Some(state));
 }
 
-/// A lasting task is started again however it ends, also when it says that it is done.
+/// A long-running task is restarted however it ends, even when it reports that it is done.
 #[rstest]
 #[case(EndKind::Done)]
 #[case(EndKind::Failed)]
@@ -118,7 +119,7 @@
     assert_eq!(world.ledger.job_state(JOB), Some(JobState::Running));
 }
 
-/// The next step begins once every task before it is done, not earlier.
+/// A step starts only after every task of its dependencies is done.
 #[test]
 fn a_step_waits_for_the_steps_before_it() {
     let mut world = World::new();
@@ -160,11 +161,11 @@
     assert_eq!(begun, [0, 0, 1]);
 }
 
-/// The leader dies right after it had a start agreed. The next leader does not know whether the
-/// order went out. It must not start the task elsewhere before the minion, under the new token,
-/// has said that it does not run there.
+/// The leader fails right after a start is committed, so the next leader cannot tell whether the
+/// order was sent. It must not start the task on another minion before the first minion, under the
+/// new fencing token, reports that the task is not running there.
 #[test]
-fn a_new_leader_asks_before_it_starts_a_task_again() {
+fn a_new_leader_queries_the_minion_before_restarting_a_task() {
     let mut world = World::new();
     let first = world.join("i-1", 1);
     world.submit(JOB, vec![step(1, 1000)]);
@@ -188,10 +189,10 @@
     assert_eq!((before, after), (0, vec![(2, 2)]));
 }
 
-/// A start brings no answer. It may be carried out seconds later, so its room stays taken and the
-/// task is not started elsewhere until a list made after its deadline does not show it.
+/// A start without an answer may still be executed seconds later. Its resources must stay reserved,
+/// and the task must not start elsewhere, until a list made after its deadline does not contain it.
 #[test]
-fn an_unanswered_start_is_not_given_to_another_minion() {
+fn a_task_with_an_unanswered_start_is_not_started_elsewhere() {
     let mut world = World::new();
     let minion = world.join("i-1", 1);
     world.submit(JOB, vec![step(1, 32_000)]);
@@ -228,8 +229,8 @@
     assert_eq!((tries, early, before_deadline, later), (4, 0, 0, vec![2]));
 }
 
-/// A job is cancelled while its start is being agreed and while it runs. Nothing of it starts
-/// after that, and what runs is stopped.
+/// A job is cancelled while its task runs. The run must be stopped, and no task of the job may
+/// start again.
 #[test]
 fn a_cancelled_job_does_not_start_and_is_stopped() {
     let mut world = World::new();
--- a/tests/batch_machine.rs
+++ b/tests/batch_machine.rs
@@ -1,4 +1,4 @@
-//! The machine above the log while the log takes nothing from it.
+//! The state machine while the log rejects its commands.
 
 mod batch_world;
 
@@ -15,7 +15,7 @@
 const NOW: Duration = Duration::from_secs(3_600);
 const UNIX: Duration = Duration::from_secs(1_700_000_000);
 
-/// A job whose only occurrence has been due for long.
+/// Command that submits a job whose only occurrence is already due.
 fn due_job(job: u64) -> Vec<u8> {
     let spec = JobSpec {
         payload: "payload".into(),
@@ -38,11 +38,11 @@
     submit.to_bytes().unwrap()
 }
 
-/// The disk of a leader is full for a moment, and the log takes none of its batches. Callers see
-/// jobs that never begin, for as long as that leader lasts: the batches were dropped with all that
-/// they told, and as two of them counted as on their way no other was proposed any more.
+/// The leader's disk is full for a short time, and the log rejects its batches. If they were
+/// dropped, their contents would be lost, and since two of them would still count as in flight, no
+/// further batch would be proposed: jobs would not start until the leader changed.
 #[test]
-fn batches_that_the_log_did_not_take_are_proposed_again() {
+fn batches_that_the_log_rejected_are_proposed_again() {
     let (orders, _kept) = unbounded_channel();
     let mut machine = Machine::new(config(), orders);
     machine.term_began(1);
@@ -70,9 +70,10 @@
     assert_eq!(index, 4 + 3, "one batch for each job");
 }
 
-/// The same, but the replica loses the lead: what it wanted to propose is of no use to the next one.
+/// When the replica loses leadership, its rejected batches must be dropped: they are decisions of
+/// an earlier term.
 #[test]
-fn batches_of_a_leader_are_dropped_with_its_lead() {
+fn rejected_batches_are_dropped_on_loss_of_leadership() {
     let (orders, _kept) = unbounded_channel();
     let mut machine = Machine::new(config(), orders);
     machine.term_began(1);
--- a/tests/batch_workspaces.rs
+++ b/tests/batch_workspaces.rs
@@ -1,4 +1,4 @@
-//! Whose calls are served, and which jobs a caller may see.
+//! Authentication of callers by API key, and their access to jobs.
 
 mod batch_world;
 
@@ -15,10 +15,10 @@
 use yuccahold::replication::StateMachine;
 
 const UNIX: Duration = Duration::from_secs(1_700_000_000);
-const CHECK: &str = "/checks/00000000000000a1";
-const OPEN: &str = "/open/00000000000000b1";
+const KEYED_JOB: &str = "/checks/00000000000000a1";
+const PUBLIC_JOB: &str = "/open/00000000000000b1";
 
-/// A leader with one queue that asks for keys and one that does not.
+/// The state machine of a leader, with one queue that requires keys and one that is public.
 struct Leader {
     machine: Machine,
     index: u64,
@@ -67,7 +67,7 @@
         self.machine.apply(self.index, UNIX, &bytes)
     }
 
-    /// What a call brings, once what it proposes is agreed.
+    /// Outcome of a call, after a command that it proposes is applied.
     fn call(&mut self, path: &str, key: Option<&str>, action: ClientAction) -> &'static str {
         let call = ClientCall {
             host: "h".into(),
@@ -108,71 +108,72 @@
     }
 }
 
-const TWO: &str =
+const TWO_WORKSPACES: &str =
     r#","tenants":[{"name":"a","api_keys":["a1","a2"]},{"name":"b","api_keys":["b1"]}]"#;
-const A_LOST_ITS_KEYS: &str = r#","tenants":[{"name":"a"},{"name":"b","api_keys":["b1"]}]"#;
-const KEY_MOVED: &str =
+const KEYS_OF_A_REMOVED: &str = r#","tenants":[{"name":"a"},{"name":"b","api_keys":["b1"]}]"#;
+const KEY_A1_MOVED_TO_B: &str =
     r#","tenants":[{"name":"a","api_keys":["a2"]},{"name":"b","api_keys":["b1","a1"]}]"#;
 
-/// A call runs although no configuration ever held its key.
+/// Guards against serving a call whose key is missing or in no configuration.
 #[rstest]
 #[case::missing(None, "unauthenticated")]
-#[case::never_held(Some("x"), "unauthenticated")]
-#[case::held(Some("a1"), "accepted")]
-fn a_call_needs_a_key_in_force(#[case] key: Option<&str>, #[case] expected: &str) {
-    let mut leader = Leader::with(TWO);
-    assert_eq!(leader.submit(CHECK, key), expected);
-    assert_eq!(leader.submit(OPEN, key), "accepted");
+#[case::unknown(Some("x"), "unauthenticated")]
+#[case::valid(Some("a1"), "accepted")]
+fn a_call_needs_a_valid_key(#[case] key: Option<&str>, #[case] expected: &str) {
+    let mut leader = Leader::with(TWO_WORKSPACES);
+    assert_eq!(leader.submit(KEYED_JOB, key), expected);
+    assert_eq!(leader.submit(PUBLIC_JOB, key), "accepted");
     let pending = leader.call("/checks/", key, ClientAction::Pending);
     assert_eq!(pending == "pending", expected == "accepted");
     assert_eq!(leader.submit("/none/00000000000000a1", key), "no queue");
 }
 
-/// Deployments without workspaces ask nobody for a key.
+/// Deployments without workspaces must not require keys; an empty list of workspaces must.
 #[test]
 fn without_workspaces_no_key_is_needed() {
     let mut leader = Leader::with("");
-    assert_eq!(leader.submit(CHECK, None), "accepted");
-    assert_eq!(leader.state(CHECK, Some("x")), "state");
+    assert_eq!(leader.submit(KEYED_JOB, None), "accepted");
+    assert_eq!(leader.state(KEYED_JOB, Some("x")), "state");
     let mut leader = Leader::with(r#","tenants":[]"#);
-    assert_eq!(leader.submit(CHECK, None), "unauthenticated");
+    assert_eq!(leader.submit(KEYED_JOB, None), "unauthenticated");
 }
 
-/// A key that was taken away still serves.
+/// Guards against a key that was removed from the configuration still being accepted.
 #[test]
-fn a_key_serves_until_it_is_taken_away() {
-    let mut leader = Leader::with(TWO);
-    assert_eq!(leader.submit(CHECK, Some("a1")), "accepted");
-    leader.configure(2, A_LOST_ITS_KEYS);
+fn a_key_is_valid_until_it_is_removed() {
+    let mut leader = Leader::with(TWO_WORKSPACES);
+    assert_eq!(leader.submit(KEYED_JOB, Some("a1")), "accepted");
+    leader.configure(2, KEYS_OF_A_REMOVED);
     for key in ["a1", "a2"] {
-        assert_eq!(leader.submit(CHECK, Some(key)), "unauthenticated");
-        assert_eq!(leader.state(CHECK, Some(key)), "unauthenticated");
-        let cancel = leader.call(CHECK, Some(key), ClientAction::Cancel);
+        assert_eq!(leader.submit(KEYED_JOB, Some(key)), "unauthenticated");
+        assert_eq!(leader.state(KEYED_JOB, Some(key)), "unauthenticated");
+        let cancel = leader.call(KEYED_JOB, Some(key), ClientAction::Cancel);
         assert_eq!(cancel, "unauthenticated");
     }
-    leader.configure(3, TWO);
-    assert_eq!(leader.state(CHECK, Some("a1")), "state");
+    leader.configure(3, TWO_WORKSPACES);
+    assert_eq!(leader.state(KEYED_JOB, Some("a1")), "state");
 }
 
-/// Another workspace learns of a job, or ends it.
+/// Guards against a workspace reading or cancelling a job of another one.
 #[test]
-fn a_job_is_seen_by_its_workspace_alone() {
-    let mut leader = Leader::with(TWO);
-    assert_eq!(leader.submit(CHECK, Some("a1")), "accepted");
-    assert_eq!(leader.submit(CHECK, Some("a2")), "accepted", "repeated");
-    assert_eq!(leader.state(CHECK, Some("b1")), "gone");
-    let cancel = leader.call(CHECK, Some("b1"), ClientAction::Cancel);
+fn a_job_is_visible_only_to_its_workspace() {
+    let mut leader = Leader::with(TWO_WORKSPACES);
+    assert_eq!(leader.submit(KEYED_JOB, Some("a1")), "accepted");
+    assert_eq!(leader.submit(KEYED_JOB, Some("a2")), "accepted", "repeated");
+    assert_eq!(leader.state(KEYED_JOB, Some("b1")), "gone");
+    let cancel = leader.call(KEYED_JOB, Some("b1"), ClientAction::Cancel);
     assert_eq!(cancel, "gone");
-    assert_eq!(leader.submit(CHECK, Some("b1")), "taken");
-    assert_eq!(leader.state(CHECK, Some("a2")), "state");
+    assert_eq!(leader.submit(KEYED_JOB, Some("b1")), "taken");
+    assert_eq!(leader.state(KEYED_JOB, Some("a2")), "state");
 }
 
-/// Two callers hand in one id at the same moment, and both are told that it was accepted.
+/// Guards against two concurrent submissions with one id both being accepted: both are proposed
+/// before either is committed.
 #[rstest]
 #[case::of_two_workspaces([("checks", Some("a1")), ("checks", Some("b1"))])]
 #[case::in_two_queues([("checks", Some("a1")), ("open", None)])]
-fn an_id_in_a_race_belongs_to_one_job(#[case] calls: [(&str, Option<&str>); 2]) {
-    let mut leader = Leader::with(TWO);
+fn concurrent_submissions_of_one_id_create_one_job(#[case] calls: [(&str, Option<&str>); 2]) {
+    let mut leader = Leader::with(TWO_WORKSPACES);
     let proposals = calls.map(|(queue, key)| {
         let call = ClientCall {
             host: "h".into(),
@@ -189,24 +190,25 @@
     assert_eq!(replies, [Reply::Accepted, Reply::IdTaken]);
 }
 
-/// A key that moves to another workspace takes the jobs of its former one along.
+/// Guards against a key that was reassigned to another workspace still giving access to the jobs of
+/// the former one.
 #[test]
-fn a_key_that_moved_shows_the_jobs_of_its_new_workspace() {
-    let mut leader = Leader::with(TWO);
-    assert_eq!(leader.submit(CHECK, Some("a1")), "accepted");
-    leader.configure(2, KEY_MOVED);
-    assert_eq!(leader.state(CHECK, Some("a1")), "gone");
-    assert_eq!(leader.state(CHECK, Some("a2")), "state");
+fn a_reassigned_key_gives_access_to_its_new_workspace_only() {
+    let mut leader = Leader::with(TWO_WORKSPACES);
+    assert_eq!(leader.submit(KEYED_JOB, Some("a1")), "accepted");
+    leader.configure(2, KEY_A1_MOVED_TO_B);
+    assert_eq!(leader.state(KEYED_JOB, Some("a1")), "gone");
+    assert_eq!(leader.state(KEYED_JOB, Some("a2")), "state");
 }
 
-/// The next leader, or a replica restored from a snapshot, forgets whose a job is.
+/// Guards against a replica restored from a snapshot losing the owners of jobs.
 #[test]
-fn a_snapshot_keeps_whose_a_job_is() {
-    let mut leader = Leader::with(TWO);
-    assert_eq!(leader.submit(CHECK, Some("a1")), "accepted");
+fn a_snapshot_keeps_the_owners_of_jobs() {
+    let mut leader = Leader::with(TWO_WORKSPACES);
+    assert_eq!(leader.submit(KEYED_JOB, Some("a1")), "accepted");
     let mut next = Leader::new();
     let snapshot = leader.machine.snapshot();
     next.machine.restore(&snapshot).expect("it reads");
-    assert_eq!(next.state(CHECK, Some("b1")), "gone");
-    assert_eq!(next.state(CHECK, Some("a1")), "state");
+    assert_eq!(next.state(KEYED_JOB, Some("b1")), "gone");
+    assert_eq!(next.state(KEYED_JOB, Some("a1")), "state");
 }
--- a/tests/batch_world/cell.rs
+++ b/tests/batch_world/cell.rs
@@ -1,4 +1,4 @@
-//! Minions that a load is played on.
+//! Simulated minions that execute orders immediately.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,25 +8,28 @@
 
 use super::{World, listed};
 
-/// Minions that carry out what they are told, at once.
+/// Minions of a cell that execute orders without delay and without faults of their own.
 #[derive(Default)]
 pub struct Cell {
-    /// Runs under way, with the time of their end if they have one.
+    /// Active runs, with the time of their end unless they run until stopped.
     pub runs: BTreeMap<TaskId, (MinionNumber, StartOrder, Option<Duration>)>,
-    /// Ends of each minion so far.
-    ends: BTreeMap<MinionNumber, u64>,
+    /// Number of the last end reported by each minion.
+    last_ends: BTreeMap<MinionNumber, u64>,
+    /// Minions that no longer answer holds.
     pub gone: BTreeSet<MinionNumber>,
+    /// Executed starts, in order.
     pub started: Vec<(Duration, TaskId)>,
-    /// Runs that were told to stop.
+    /// Number of runs that were ordered to stop.
     pub stopped: usize,
 }
 
 impl Cell {
-    /// Begins what was ordered, ends what is over, answers holds.
-    pub fn work(&mut self, world: &mut World, lasts: impl Fn(&StartOrder) -> Option<Duration>) {
+    /// Executes starts and stops, ends runs that are over, and answers holds. `run_time` gives the
+    /// time after which a run is done, or `None` if it runs until stopped.
+    pub fn work(&mut self, world: &mut World, run_time: impl Fn(&StartOrder) -> Option<Duration>) {
         for (minion, start) in world.take_starts() {
             let clock = Some(world.now);
-            let until = lasts(&start).map(|time| world.now + time);
+            let until = run_time(&start).map(|time| world.now + time);
             self.started.push((world.now, start.task));
             let (task, run) = (start.task, start.run);
             self.runs.insert(task, (minion, start, until));
@@ -64,7 +67,7 @@
         let mut listings: BTreeMap<MinionNumber, Vec<ListedEnd>> = BTreeMap::new();
         for (task, minion, run, kind) in over.collect::<Vec<_>>() {
             self.runs.remove(&task);
-            let number = self.ends.entry(minion).or_default();
+            let number = self.last_ends.entry(minion).or_default();
             *number += 1;
             listings.entry(minion).or_default().push(ListedEnd {
                 number: *number,
@@ -82,8 +85,8 @@
             }
         }
         for (minion, ended) in listings {
-            let mine = self.runs.values().filter(|(m, ..)| *m == minion);
-            let running = mine.map(|(_, start, _)| listed(start)).collect();
+            let active = self.runs.values().filter(|(m, ..)| *m == minion);
+            let running = active.map(|(_, start, _)| listed(start)).collect();
             let listing = Listing {
                 clock: world.now,
                 running,
--- a/tests/batch_world/hosts.rs
+++ b/tests/batch_world/hosts.rs
@@ -1,4 +1,4 @@
-//! Minions that act by themselves: they run tasks to their end, crash, and start again.
+//! Simulated hosts whose minions run tasks, crash and restart on their own.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -13,29 +13,29 @@
 };
 use yuccahold::resources::Resources;
 
-use super::life::{Life, Pending};
+use super::life::{Incarnation, PendingHold};
 use super::limits::Limits;
 use super::{World, ms, report};
 
 const TICK: Duration = ms(5);
 const HEARTBEAT: Duration = ms(500);
-/// Time from a start to the crash of its minion.
-const CRASHES_AFTER: Duration = ms(10);
-/// Time until a call that nobody answers is given up.
+/// Time from the start of a task in `crashers` to the crash of its minion.
+const CRASH_DELAY: Duration = ms(10);
+/// Timeout of a call without an answer.
 const CALL_TIMEOUT: Duration = ms(200);
-/// Time from a change of leaders until starts count against what a task may have.
-const STEADY_AFTER: Duration = ms(3_000);
-/// Time for an answer to come back.
-const WAY_BACK: Duration = ms(2);
+/// Time after a leader change during which `starts_too_many` does not count starts.
+const LEADER_SETTLE_TIME: Duration = ms(3_000);
+/// Network delay of an answer.
+const NET_DELAY: Duration = ms(2);
 
-/// What becomes of the answer to a start that crashes its minion.
+/// Whether the answer to a start that crashes its minion is delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartAnswer {
     Delivered,
     Lost,
 }
 
-/// Under which name a minion starts again.
+/// Name under which a minion restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Restart {
     NewName,
@@ -46,11 +46,11 @@
     port: u16,
     name: String,
     capacity: Resources,
-    lives: u32,
+    restarts: u32,
     sequence: u64,
     reports_at: Duration,
-    life: Option<Life>,
-    back_at: Duration,
+    inc: Option<Incarnation>,
+    restarts_at: Duration,
 }
 
 struct Delivery {
@@ -61,42 +61,41 @@
     answer: MinionAnswer,
 }
 
-/// An order that is carried out late, by whoever has the name then.
+/// A start that is executed late, if the incarnation at its address still has the same name.
 struct LateOrder {
     at: Duration,
     target: Target,
     order: MinionOrder,
 }
 
-/// A leader and hosts, each with one minion after the other.
+/// A leader and hosts, each of which runs successive incarnations of one minion.
 pub struct Cell {
     pub world: World,
     hosts: BTreeMap<u16, Host>,
     deliveries: VecDeque<Delivery>,
-    late: Vec<LateOrder>,
-    /// Tasks that crash each minion that starts them.
+    late_orders: Vec<LateOrder>,
+    /// Tasks that crash every minion that starts them.
     pub crashers: BTreeSet<TaskId>,
     pub start_answer: StartAnswer,
     pub restart: Restart,
     /// Time from a crash to the next incarnation.
     pub away: Duration,
-    /// Further time that lists take on their way.
+    /// Additional network delay of answers to holds.
     pub lists_late_by: Duration,
-    /// Time after which starts sent now are carried out, not answered; zero to carry them out.
+    /// If not zero, starts are executed after this time and their answers are lost.
     pub starts_late_by: Duration,
     /// Time from the start of an incarnation to its first report.
     pub reports_late_by: Duration,
-    /// Starts of each task.
+    /// Number of executed starts of each task.
     pub starts: BTreeMap<TaskId, u32>,
-    /// Starts of each task after three minions had crashed under it, by a leader that had led for a
-    /// while.
+    /// Those after three crashes under the task, except shortly after a leader change.
     pub starts_too_many: BTreeMap<TaskId, u32>,
-    led_since: Duration,
-    /// Minions that crashed under each task.
+    leader_since: Duration,
+    /// Number of crashes of minions that were running each task.
     pub crashes: BTreeMap<TaskId, u32>,
-    /// Minions that crashed.
+    /// Number of crashes of minions.
     pub crashed: u32,
-    /// Promises that were broken.
+    /// Violated invariants, described.
     pub broken: Vec<String>,
     done: BTreeSet<TaskId>,
     specs: BTreeMap<JobId, Vec<StepSpec>>,
@@ -104,13 +103,13 @@
 }
 
 impl Cell {
-    /// Hosts of 32 cores at these ports, all of them up and held.
+    /// Creates hosts with 32 cores at these ports, all up and held by the leader.
     pub fn new(ports: std::ops::Range<u16>) -> Self {
         let mut cell = Self {
             world: World::new(),
             hosts: BTreeMap::new(),
             deliveries: VecDeque::new(),
-            late: Vec::new(),
+            late_orders: Vec::new(),
             crashers: BTreeSet::new(),
             start_answer: StartAnswer::Delivered,
             restart: Restart::NewName,
@@ -120,7 +119,7 @@
             reports_late_by: Duration::ZERO,
             starts: BTreeMap::new(),
             starts_too_many: BTreeMap::new(),
-            led_since: Duration::ZERO,
+            leader_since: Duration::ZERO,
             crashes: BTreeMap::new(),
             crashed: 0,
             broken: Vec::new(),
@@ -133,11 +132,11 @@
                 port,
                 name: format!("i-{port}-0"),
                 capacity: report("", port).capacity,
-                lives: 0,
+                restarts: 0,
                 sequence: 0,
                 reports_at: cell.world.now,
-                life: Some(Life::new(cell.world.now)),
-                back_at: Duration::ZERO,
+                inc: Some(Incarnation::new(cell.world.now)),
+                restarts_at: Duration::ZERO,
             };
             cell.hosts.insert(port, host);
         }
@@ -145,7 +144,7 @@
         cell
     }
 
-    /// Lets time pass.
+    /// Advances the time by `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.world.now + span;
         while self.world.now < end {
@@ -153,24 +152,24 @@
         }
     }
 
-    /// Lets time pass until `condition` holds; gives the time it took.
+    /// Advances the time until `condition` holds; returns the time that took.
     pub fn run_until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) -> Duration {
-        let begun = self.world.now;
+        let started_at = self.world.now;
         while !condition(self) {
-            let waited = self.world.now - begun;
+            let waited = self.world.now - started_at;
             assert!(waited < ms(120_000), "waited too long for {what}");
             self.tick();
         }
-        self.world.now - begun
+        self.world.now - started_at
     }
 
-    /// A job is handed in.
+    /// Submits a job to the default queue, without an owner.
     pub fn submit(&mut self, job: JobId, steps: Vec<StepSpec>) {
         self.specs.insert(job, steps.clone());
         self.world.submit(job, steps);
     }
 
-    /// A job of a workspace is handed in.
+    /// Submits a job of a workspace.
     pub fn submit_for(
         &mut self,
         owner: &'static str,
@@ -183,19 +182,19 @@
         self.world.submit_for(owner, job, queue, steps);
     }
 
-    /// Limits come in force, in cores.
+    /// Puts limits of workspaces in force, in cores.
     pub fn limit(&mut self, version: u64, limits: &[(&'static str, u32)]) {
         self.limits.set(self.world.now, limits);
         self.world.limit(version, limits);
     }
 
-    /// Another leader takes over; answers to the earlier one are lost with it.
+    /// Replaces the leader; answers in flight to the former one are lost.
     pub fn new_leader(&mut self, term: u64) {
         self.deliveries.clear();
-        self.led_since = self.world.now;
+        self.leader_since = self.world.now;
         for host in self.hosts.values_mut() {
-            if let Some(life) = &mut host.life {
-                life.pending = None;
+            if let Some(inc) = &mut host.inc {
+                inc.pending = None;
             }
         }
         self.world.new_leader(term);
@@ -205,73 +204,75 @@
         self.world.ledger.job_state(job)
     }
 
-    /// A job is done, or given up after two minions have crashed under one of its tasks.
+    /// Asserts that a job is done, or failed after two or more crashes under one of its tasks.
     pub fn assert_done_or_given_up(&self, job: JobId, seed: u64) {
         let state = self.state(job);
         let crashes = self.crashes.iter().filter(|(t, _)| t.step.job == job);
         let most = crashes.map(|(_, n)| *n).max().unwrap_or_default();
         let given_up = state == Some(JobState::Failed) && most >= 2;
-        let wanted = state == Some(JobState::Done) || given_up;
-        assert!(wanted, "seed {seed}: {job:x} is {state:?}, {most} crashes");
+        let ended = state == Some(JobState::Done) || given_up;
+        assert!(ended, "seed {seed}: {job:x} is {state:?}, {most} crashes");
     }
 
     /// Ports of the hosts on which a task runs.
     pub fn ports_of(&self, task: TaskId) -> Vec<u16> {
-        let runs = |host: &&Host| host.life.as_ref().is_some_and(|life| life.runs(task));
+        let runs = |host: &&Host| host.inc.as_ref().is_some_and(|inc| inc.runs(task));
         self.hosts.values().filter(runs).map(|h| h.port).collect()
     }
 
-    /// What the minion at a port says of itself now; may be delivered later.
+    /// Creates the next report of the minion at a port; `None` while it is down.
     pub fn report_of(&mut self, port: u16) -> Option<MinionReport> {
         let now = self.world.now;
         let host = self.hosts.get_mut(&port)?;
-        let life = host.life.as_ref()?;
+        let inc = host.inc.as_ref()?;
         host.sequence += 1;
         Some(MinionReport {
-            started: Some(life.started()),
+            started: Some(inc.started()),
             capacity: host.capacity,
-            clock: life.clock(now),
+            clock: inc.clock(now),
             sequence: host.sequence,
             ..report(&host.name, port)
         })
     }
 
-    /// The capacity of the minion at a port changes when it starts again.
+    /// Changes the capacity of the host at a port. The leader learns of it from the next report.
     pub fn resize(&mut self, port: u16, capacity: Resources) {
         if let Some(host) = self.hosts.get_mut(&port) {
             host.capacity = capacity;
         }
     }
 
-    /// A minion crashes without any task's doing.
+    /// Crashes the minion at a port; it restarts after `away`.
     pub fn crash(&mut self, port: u16) {
         let now = self.world.now;
         let Some(host) = self.hosts.get_mut(&port) else {
             return;
         };
-        let Some(life) = host.life.take() else { return };
-        host.back_at = now + self.away;
+        let Some(inc) = host.inc.take() else {
+            return;
+        };
+        host.restarts_at = now + self.away;
         self.crashed += 1;
-        for task in life.tasks() {
+        for task in inc.tasks() {
             *self.crashes.entry(task).or_default() += 1;
             self.break_gang(task);
         }
-        if let Some(hold) = life.pending {
+        if let Some(hold) = inc.pending {
             let answer = MinionAnswer::Hold(HoldAnswer::Silent(Silence::Broken));
-            self.answer(now + WAY_BACK, hold.to, OrderKind::Hold, hold.sent, answer);
+            self.answer(now + NET_DELAY, hold.to, OrderKind::Hold, hold.sent, answer);
         }
     }
 
-    /// The other members of a gang end with one that is lost.
+    /// Ends the other members of the gang of a lost task.
     fn break_gang(&mut self, lost: TaskId) {
         let spec = &self.specs[&lost.step.job][usize::from(lost.step.step)];
         if spec.grouping != Grouping::Gang {
             return;
         }
-        for life in self.hosts.values_mut().filter_map(|h| h.life.as_mut()) {
-            let members: Vec<_> = life.tasks().filter(|t| t.step == lost.step).collect();
+        for inc in self.hosts.values_mut().filter_map(|h| h.inc.as_mut()) {
+            let members: Vec<_> = inc.tasks().filter(|t| t.step == lost.step).collect();
             for member in members {
-                life.end(member, EndKind::Broken);
+                inc.end(member, EndKind::Broken);
             }
         }
     }
@@ -280,15 +281,15 @@
         self.world.now += TICK;
         let now = self.world.now;
         for port in self.hosts.keys().copied().collect::<Vec<_>>() {
-            self.act(port, now);
+            self.advance_host(port, now);
         }
-        let (due, later) = std::mem::take(&mut self.late)
+        let (due, later) = std::mem::take(&mut self.late_orders)
             .into_iter()
             .partition(|late| late.at <= now);
-        self.late = later;
+        self.late_orders = later;
         let due: Vec<LateOrder> = due;
         for late in due {
-            self.carry_out(now, &late.target, &late.order);
+            self.execute(now, &late.target, &late.order);
         }
         self.deliver(now);
         self.world.decide();
@@ -299,35 +300,37 @@
         }
     }
 
-    /// What a host does by itself.
-    fn act(&mut self, port: u16, now: Duration) {
-        let crashes = |life: &Life| life.crashes_at.is_some_and(|at| at <= now);
-        if self.hosts[&port].life.as_ref().is_some_and(crashes) {
+    /// Advances one host: crash, restart, report, ends of runs, and answers to waiting holds.
+    fn advance_host(&mut self, port: u16, now: Duration) {
+        let crashes = |inc: &Incarnation| inc.crashes_at.is_some_and(|at| at <= now);
+        if self.hosts[&port].inc.as_ref().is_some_and(crashes) {
             self.crash(port);
         }
         let (restart, reports_late_by) = (self.restart, self.reports_late_by);
         let Some(host) = self.hosts.get_mut(&port) else {
             return;
         };
-        if host.life.is_none() && now >= host.back_at {
-            host.life = Some(Life::new(now));
-            host.lives += 1;
+        if host.inc.is_none() && now >= host.restarts_at {
+            host.inc = Some(Incarnation::new(now));
+            host.restarts += 1;
             if restart == Restart::NewName {
-                host.name = format!("i-{port}-{}", host.lives);
+                host.name = format!("i-{port}-{}", host.restarts);
             }
             host.sequence = 0;
             host.reports_at = now + reports_late_by;
         }
-        if host.life.is_some() && now >= host.reports_at {
+        if host.inc.is_some() && now >= host.reports_at {
             host.reports_at = now + HEARTBEAT;
             let report = self.report_of(port).expect("it is up");
             self.world.leader.report(now, report);
         }
-        let life = self.hosts.get_mut(&port).and_then(|h| h.life.as_mut());
-        let Some(life) = life else { return };
-        life.pass(now);
-        let has_ends = life.has_ends();
-        if let Some(hold) = life.pending.take_if(|h| has_ends || h.until <= now) {
+        let inc = self.hosts.get_mut(&port).and_then(|h| h.inc.as_mut());
+        let Some(inc) = inc else {
+            return;
+        };
+        inc.advance(now);
+        let has_ends = inc.has_ends();
+        if let Some(hold) = inc.pending.take_if(|h| has_ends || h.until <= now) {
             self.answer_hold(port, now, &hold);
         }
     }
@@ -369,21 +372,21 @@
 
     fn send(&mut self, now: Duration, target: Target, order: MinionOrder) {
         let is_start = matches!(order, MinionOrder::Start(_));
-        let up = self.hosts[&target.addr.port()].life.is_some();
+        let up = self.hosts[&target.addr.port()].inc.is_some();
         if is_start && up && !self.starts_late_by.is_zero() {
             let lost = MinionAnswer::Order(Answer::Silent(Silence::Lost));
             self.answer(now + CALL_TIMEOUT, target.minion, order.kind(), now, lost);
             let at = now + self.starts_late_by;
-            self.late.push(LateOrder { at, target, order });
+            self.late_orders.push(LateOrder { at, target, order });
             return;
         }
-        if let Some((after, answer)) = self.carry_out(now, &target, &order) {
+        if let Some((after, answer)) = self.execute(now, &target, &order) {
             self.answer(now + after, target.minion, order.kind(), now, answer);
         }
     }
 
-    /// Carries an order out; gives the answer and the time it takes, none for a hold that waits.
-    fn carry_out(
+    /// Executes an order; returns the delay and the answer. A hold is answered separately: `None`.
+    fn execute(
         &mut self,
         now: Duration,
         target: &Target,
@@ -391,7 +394,7 @@
     ) -> Option<(Duration, MinionAnswer)> {
         let port = target.addr.port();
         let host = self.hosts.get_mut(&port)?;
-        let Some(life) = &mut host.life else {
+        let Some(inc) = &mut host.inc else {
             let silence = match order {
                 MinionOrder::Hold(_) => MinionAnswer::Hold(HoldAnswer::Silent(Silence::Lost)),
                 _ => MinionAnswer::Order(Answer::Silent(Silence::Lost)),
@@ -401,23 +404,23 @@
         let other = host.name != target.id.as_str();
         match order {
             MinionOrder::Hold(_) if other => {
-                Some((WAY_BACK, MinionAnswer::Hold(HoldAnswer::OtherIncarnation)))
+                Some((NET_DELAY, MinionAnswer::Hold(HoldAnswer::OtherIncarnation)))
             }
-            _ if other => Some((WAY_BACK, MinionAnswer::Order(Answer::OtherIncarnation))),
+            _ if other => Some((NET_DELAY, MinionAnswer::Order(Answer::OtherIncarnation))),
             MinionOrder::Start(start) => Some(self.begin(now, port, start)),
             MinionOrder::Stop { task, run, token } => {
-                let answer = if life.admits(*token) {
-                    life.stop(now, *task, *run)
+                let answer = if inc.accept_token(*token) {
+                    inc.stop(now, *task, *run)
                 } else {
-                    let clock = Some(life.clock(now));
+                    let clock = Some(inc.clock(now));
                     let why = StartRefusal::Fenced;
                     Answer::Refused { clock, why }
                 };
-                Some((WAY_BACK, MinionAnswer::Order(answer)))
+                Some((NET_DELAY, MinionAnswer::Order(answer)))
             }
             MinionOrder::Hold(hold) => {
-                if !life.admits(hold.token) {
-                    return Some((WAY_BACK, MinionAnswer::Hold(HoldAnswer::Refused)));
+                if !inc.accept_token(hold.token) {
+                    return Some((NET_DELAY, MinionAnswer::Hold(HoldAnswer::Refused)));
                 }
                 self.hold(now, port, target.minion, hold);
                 None
@@ -431,27 +434,28 @@
         let crasher = self.crashers.contains(&task);
         let ends = spec.lifetime == Lifetime::Finite && !crasher;
         let ends_at = ends.then_some(now + spec.estimate);
-        let elsewhere = self.ports_of(task);
+        let other_ports = self.ports_of(task);
         let host = self.hosts.get_mut(&port).expect("a known host");
-        let life = host.life.as_mut().expect("it is up");
-        let (begun, answer) = life.begin(now, start, spec.need, ends_at);
+        let inc = host.inc.as_mut().expect("it is up");
+        let (begun, answer) = inc.begin(now, start, spec.need, ends_at);
         if !begun {
-            return (WAY_BACK, MinionAnswer::Order(answer));
+            return (NET_DELAY, MinionAnswer::Order(answer));
         }
         if crasher {
-            life.crashes_at = Some(now + CRASHES_AFTER);
+            inc.crashes_at = Some(now + CRASH_DELAY);
         }
-        let (used, capacity) = (life.used(), host.capacity);
+        let (used, capacity) = (inc.used(), host.capacity);
         *self.starts.entry(task).or_default() += 1;
-        let steady = now >= self.led_since + STEADY_AFTER;
-        if steady && self.crashes.get(&task).is_some_and(|n| *n >= 3) {
+        let leader_settled = now >= self.leader_since + LEADER_SETTLE_TIME;
+        if leader_settled && self.crashes.get(&task).is_some_and(|n| *n >= 3) {
             *self.starts_too_many.entry(task).or_default() += 1;
         }
-        let lives = self.hosts.values().filter_map(|host| host.life.as_ref());
-        self.broken.extend(self.limits.exceeded(now, task, lives));
+        let incarnations = self.hosts.values().filter_map(|host| host.inc.as_ref());
+        self.broken
+            .extend(self.limits.exceeded(now, task, incarnations));
         let run = start.run;
-        if !elsewhere.is_empty() {
-            let text = format!("{task} run {run} on {port} beside one on {elsewhere:?}");
+        if !other_ports.is_empty() {
+            let text = format!("{task} run {run} on {port} beside one on {other_ports:?}");
             self.broken.push(text);
         }
         if self.done.contains(&task) {
@@ -466,31 +470,31 @@
             let lost = MinionAnswer::Order(Answer::Silent(Silence::Lost));
             return (CALL_TIMEOUT, lost);
         }
-        (WAY_BACK, MinionAnswer::Order(answer))
+        (NET_DELAY, MinionAnswer::Order(answer))
     }
 
     fn hold(&mut self, now: Duration, port: u16, to: MinionNumber, hold: &HoldOrder) {
-        let life = self.hosts.get_mut(&port).and_then(|h| h.life.as_mut());
-        let life = life.expect("it is up");
-        self.done.extend(life.hold(now, hold.acked, hold.deadline));
-        let pending = Pending {
+        let inc = self.hosts.get_mut(&port).and_then(|h| h.inc.as_mut());
+        let inc = inc.expect("it is up");
+        self.done.extend(inc.hold(now, hold.acked, hold.deadline));
+        let pending = PendingHold {
             sent: now,
             until: now + hold.wait,
             to,
         };
-        if !life.has_ends() && !hold.wait.is_zero() {
-            life.pending = Some(pending);
+        if !inc.has_ends() && !hold.wait.is_zero() {
+            inc.pending = Some(pending);
         } else {
             self.answer_hold(port, now, &pending);
         }
     }
 
-    fn answer_hold(&mut self, port: u16, now: Duration, hold: &Pending) {
-        let Some(life) = &self.hosts[&port].life else {
+    fn answer_hold(&mut self, port: u16, now: Duration, hold: &PendingHold) {
+        let Some(inc) = &self.hosts[&port].inc else {
             return;
         };
-        let answer = MinionAnswer::Hold(HoldAnswer::Listing(life.listing(now)));
-        let at = now + WAY_BACK + self.lists_late_by;
+        let answer = MinionAnswer::Hold(HoldAnswer::Listing(inc.listing(now)));
+        let at = now + NET_DELAY + self.lists_late_by;
         self.answer(at, hold.to, OrderKind::Hold, hold.sent, answer);
     }
 }
--- a/tests/batch_world/life.rs
+++ b/tests/batch_world/life.rs
@@ -1,4 +1,4 @@
-//! One incarnation of a minion: what it runs, and what it says of it.
+//! One incarnation of a simulated minion: its runs, its lease, and the lists it reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,32 +17,37 @@
     ends_at: Option<Duration>,
 }
 
-/// A hold that waits for an end.
-pub struct Pending {
+/// A hold that is answered when a run ends, or at `until`.
+pub struct PendingHold {
     pub sent: Duration,
     pub until: Duration,
+    /// Number that the leader gave the incarnation it sent the hold to.
     pub to: MinionNumber,
 }
 
-pub struct Life {
-    began: Duration,
+/// State of one incarnation; its clock starts at zero.
+pub struct Incarnation {
+    started_at: Duration,
     running: BTreeMap<TaskId, Running>,
-    /// Highest run of each task that was stopped or has ended.
-    past: BTreeMap<TaskId, RunNumber>,
+    /// Highest run of each task that was stopped or ended.
+    last_ended: BTreeMap<TaskId, RunNumber>,
+    /// Ends that are not acknowledged.
     ended: Vec<ListedEnd>,
     last_end: u64,
+    /// End of the lease, by the minion's clock.
     lease: Duration,
+    /// Highest fencing token seen.
     token: u64,
-    pub pending: Option<Pending>,
+    pub pending: Option<PendingHold>,
     pub crashes_at: Option<Duration>,
 }
 
-impl Life {
+impl Incarnation {
     pub fn new(now: Duration) -> Self {
         Self {
-            began: now,
+            started_at: now,
             running: BTreeMap::new(),
-            past: BTreeMap::new(),
+            last_ended: BTreeMap::new(),
             ended: Vec::new(),
             last_end: 0,
             lease: Duration::ZERO,
@@ -52,13 +57,13 @@
         }
     }
 
-    /// Unix time of its start.
+    /// Unix time of the start of the incarnation.
     pub fn started(&self) -> Duration {
-        UNIX + self.began
+        UNIX + self.started_at
     }
 
     pub fn clock(&self, now: Duration) -> Duration {
-        now - self.began
+        now - self.started_at
     }
 
     pub fn tasks(&self) -> impl Iterator<Item = TaskId> + '_ {
@@ -74,9 +79,9 @@
         needs.fold(Resources::ZERO, |sum, need| sum.saturating_add(need))
     }
 
-    /// What runs of some tasks take.
-    pub fn millicores_of(&self, wanted: impl Fn(&TaskId) -> bool) -> u32 {
-        let running = self.running.iter().filter(|(task, _)| wanted(task));
+    /// Millicores used by the runs of the selected tasks.
+    pub fn millicores_of(&self, predicate: impl Fn(&TaskId) -> bool) -> u32 {
+        let running = self.running.iter().filter(|(task, _)| predicate(task));
         running.map(|(_, running)| running.need.millicores).sum()
     }
 
@@ -84,8 +89,8 @@
         !self.ended.is_empty()
     }
 
-    /// Whether it obeys an order under this token.
-    pub fn admits(&mut self, token: u64) -> bool {
+    /// Whether orders with this token are accepted; remembers the highest token.
+    pub fn accept_token(&mut self, token: u64) -> bool {
         let newer = token >= self.token;
         self.token = self.token.max(token);
         newer
@@ -96,7 +101,7 @@
         self.lease = self.lease.max(deadline.min(longest));
     }
 
-    /// Begins a run; tells whether it did, besides what it answers.
+    /// Handles a start; returns whether a run began, and the answer.
     pub fn begin(
         &mut self,
         now: Duration,
@@ -109,14 +114,18 @@
             clock: Some(clock),
             why,
         };
-        if !self.admits(start.token) {
+        if !self.accept_token(start.token) {
             return (false, refused(StartRefusal::Fenced));
         }
         if clock > start.deadline {
             return (false, refused(StartRefusal::Late));
         }
         self.extend(now, start.deadline);
-        if self.past.get(&start.task).is_some_and(|r| *r >= start.run) {
+        if self
+            .last_ended
+            .get(&start.task)
+            .is_some_and(|r| *r >= start.run)
+        {
             return (false, refused(StartRefusal::Superseded));
         }
         let done = Answer::Done { clock: Some(clock) };
@@ -134,8 +143,8 @@
         if self.running.get(&task).is_some_and(|r| r.run <= run) {
             self.end(task, EndKind::Stopped);
         }
-        let past = self.past.entry(task).or_default();
-        *past = run.max(*past);
+        let last_ended = self.last_ended.entry(task).or_default();
+        *last_ended = run.max(*last_ended);
         let clock = Some(self.clock(now));
         Answer::Done { clock }
     }
@@ -144,8 +153,8 @@
         let Some(running) = self.running.remove(&task) else {
             return;
         };
-        let past = self.past.entry(task).or_default();
-        *past = running.run.max(*past);
+        let last_ended = self.last_ended.entry(task).or_default();
+        *last_ended = running.run.max(*last_ended);
         self.last_end += 1;
         self.ended.push(ListedEnd {
             number: self.last_end,
@@ -156,12 +165,15 @@
         });
     }
 
-    /// Ends what is done, and everything once the lease is over.
-    pub fn pass(&mut self, now: Duration) {
-        let lapsed = self.clock(now) > self.lease;
-        let over = |r: &Running| r.ends_at.is_some_and(|at| at <= now);
-        let ended = self.running.iter().filter(|(_, r)| lapsed || over(r));
-        let kind = |r: &Running| match over(r) {
+    /// Ends runs that are done, and all runs once the lease has expired.
+    pub fn advance(&mut self, now: Duration) {
+        let lease_expired = self.clock(now) > self.lease;
+        let is_done = |r: &Running| r.ends_at.is_some_and(|at| at <= now);
+        let ended = self
+            .running
+            .iter()
+            .filter(|(_, r)| lease_expired || is_done(r));
+        let kind = |r: &Running| match is_done(r) {
             true => EndKind::Done,
             false => EndKind::Lapsed,
         };
@@ -171,14 +183,14 @@
         }
     }
 
-    /// Takes note of a hold; gives the tasks whose end as done is acknowledged with it.
+    /// Handles a hold; returns the tasks whose completion it acknowledges.
     pub fn hold(&mut self, now: Duration, acked: u64, deadline: Option<Duration>) -> Vec<TaskId> {
         self.extend(now, deadline.unwrap_or_default());
         let ended = std::mem::take(&mut self.ended);
-        let (noted, left) = ended.into_iter().partition(|end| end.number <= acked);
-        self.ended = left;
-        let noted: Vec<ListedEnd> = noted;
-        let done = noted.iter().filter(|end| end.kind == EndKind::Done);
+        let (acknowledged, remaining) = ended.into_iter().partition(|end| end.number <= acked);
+        self.ended = remaining;
+        let acknowledged: Vec<ListedEnd> = acknowledged;
+        let done = acknowledged.iter().filter(|end| end.kind == EndKind::Done);
         done.map(|end| end.task).collect()
     }
 
--- a/tests/batch_world/mod.rs
+++ b/tests/batch_world/mod.rs
@@ -1,4 +1,4 @@
-//! A leader's dispatcher with its ledger, and minions that a test answers for by hand.
+//! A leader's dispatcher and ledger, with simulated time. Tests provide the answers of the minions.
 
 #![allow(dead_code)]
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// A less urgent queue.
+/// A queue with a lower priority than `queue()`.
 pub fn plans() -> Queue {
     Queue {
         name: "plans".into(),
@@ -80,7 +80,7 @@
     }
 }
 
-/// Long tasks that save their progress.
+/// A step of long tasks that write checkpoints.
 pub fn saving(count: u32, millicores: u32) -> StepSpec {
     StepSpec {
         saves_progress: true,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Tasks that work only together.
+/// A step whose tasks form a gang.
 pub fn gang(count: u32, millicores: u32) -> StepSpec {
     StepSpec {
         grouping: Grouping::Gang,
@@ -104,7 +104,7 @@
     }
 }
 
-/// Lasting tasks of which no two run on one minion.
+/// A step of long-running tasks, at most one per minion.
 pub fn one_each(count: u32, millicores: u32) -> StepSpec {
     StepSpec {
         max_per_minion: Some(1),
@@ -140,7 +140,7 @@
     }
 }
 
-/// The second report of a minion, which says that it leaves.
+/// The second report of a minion, which says that it is draining.
 pub fn draining(id: &str, port: u16) -> MinionReport {
     MinionReport {
         readiness: Readiness::Draining { remaining: None },
@@ -149,7 +149,7 @@
     }
 }
 
-/// A lasting run at work, as its minion lists it.
+/// The entry of a long-running task in the list of its minion.
 pub fn listed(start: &StartOrder) -> ListedRun {
     ListedRun {
         task: start.task,
@@ -160,10 +160,10 @@
     }
 }
 
-/// One leader; its log agrees at once.
+/// One leader, whose commands are committed immediately.
 pub struct World {
     cfg: DispatchConfig,
-    leaving_since: BTreeMap<MinionNumber, Duration>,
+    draining_since: BTreeMap<MinionNumber, Duration>,
     pub now: Duration,
     pub ledger: Ledger,
     pub leader: Dispatcher,
@@ -181,7 +181,7 @@
         let leader = Dispatcher::new(cfg.clone(), 1, &ledger, now);
         Self {
             cfg,
-            leaving_since: BTreeMap::new(),
+            draining_since: BTreeMap::new(),
             now,
             ledger,
             leader,
@@ -189,15 +189,15 @@
         }
     }
 
-    /// Another leader takes over, with what the ledger holds and nothing else.
+    /// Replaces the leader by a new one that knows only the ledger and when minions began to drain.
     pub fn new_leader(&mut self, term: u64) {
         self.leader = Dispatcher::new(self.cfg.clone(), term, &self.ledger, self.now);
-        self.leader.assume_leaving(self.now, &self.leaving_since);
+        self.leader.assume_leaving(self.now, &self.draining_since);
         self.orders.clear();
         self.decide();
     }
 
-    /// Answers the first hold of a leader to a minion on which nothing runs.
+    /// Answers the leader's first hold to a minion without runs.
     pub fn answer_first_hold_of(&mut self, id: &str) {
         let number = self.ledger.minion_number(&id.into()).expect("it joined");
         let clock = self.now;
@@ -213,17 +213,18 @@
     }
 
     pub fn apply(&mut self, command: &Command) {
-        let fresh = match command {
+        let effective = match command {
             Command::Submit { job, .. } => self.ledger.job_state(*job).is_none(),
             _ => true,
         };
         let at = self.unix();
         self.ledger.apply(at, command);
         if let Command::Batch(batch) = command {
-            let told = batch.draining.iter().map(|number| (*number, self.now));
-            self.leaving_since.extend(told);
+            let draining = batch.draining.iter().map(|number| (*number, self.now));
+            self.draining_since.extend(draining);
         }
-        self.leader.applied(self.now, &self.ledger, command, fresh);
+        self.leader
+            .applied(self.now, &self.ledger, command, effective);
     }
 
     pub fn submit(&mut self, job: JobId, steps: Vec<StepSpec>) {
@@ -235,18 +236,18 @@
         self.decide();
     }
 
-    /// A job of a workspace is accepted.
+    /// Submits a job of a workspace and lets the leader decide.
     pub fn submit_for(&mut self, owner: &str, job: JobId, queue: Queue, steps: Vec<StepSpec>) {
         self.accept(job, queue, Some(owner.into()), steps);
         self.decide();
     }
 
-    /// The same, and the leader decides nothing yet.
+    /// Submits a job of a workspace without letting the leader decide.
     pub fn accept_for(&mut self, owner: &str, job: JobId, queue: Queue, steps: Vec<StepSpec>) {
         self.accept(job, queue, Some(owner.into()), steps);
     }
 
-    /// Puts limits on what workspaces may run, in cores, and gives all a weight without end.
+    /// Sets limits of workspaces in cores, with infinite weights.
     pub fn limit(&mut self, version: u64, limits: &[(&str, u32)]) {
         let workspaces = limits.iter().map(|(name, cores)| {
             let limit = Resources::new(*cores, 0, 0);
@@ -256,7 +257,7 @@
         self.put_workspaces(version, workspaces);
     }
 
-    /// Gives weights to workspaces, without limits.
+    /// Sets weights of workspaces, without limits.
     pub fn weigh(&mut self, version: u64, weights: &[(&str, f64)]) {
         let workspaces = weights.iter().map(|(name, weight)| {
             let limit = Resources::ZERO;
@@ -289,7 +290,7 @@
         });
     }
 
-    /// A job is accepted, and the leader decides nothing yet.
+    /// Submits a job without letting the leader decide.
     pub fn submit_only(&mut self, job: JobId, steps: Vec<StepSpec>) {
         self.accept(job, queue(), None, steps);
     }
@@ -324,13 +325,13 @@
         }
     }
 
-    /// What the leader would propose now, not agreed.
+    /// The batch that the leader proposes now; it is not committed.
     pub fn propose_only(&mut self) -> Option<Batch> {
         let unix = self.unix();
         self.leader.decide(self.now, unix, &self.ledger)
     }
 
-    /// The log agrees to what the leader proposed.
+    /// Commits a proposed batch and lets the leader decide.
     pub fn agree(&mut self, batch: Batch) {
         self.orders.extend(self.leader.take_orders());
         self.apply(&Command::Batch(batch));
@@ -342,19 +343,19 @@
         self.decide();
     }
 
-    /// Minions join, named by a prefix and their ports.
+    /// Joins one minion per port, named by the prefix and the port.
     pub fn join_all(&mut self, prefix: &str, ports: Range<u16>) {
         for port in ports {
             self.join(&format!("{prefix}-{port}"), port);
         }
     }
 
-    /// A minion joins and answers its first hold.
+    /// Joins a minion, which answers its first hold.
     pub fn join(&mut self, id: &str, port: u16) -> MinionNumber {
         self.join_as(report(id, port))
     }
 
-    /// A minion with this report joins and answers its first hold.
+    /// Joins a minion with this report, which answers its first hold.
     pub fn join_as(&mut self, report: MinionReport) -> MinionNumber {
         let id = report.id.clone();
         self.leader.report(self.now, report);
@@ -364,7 +365,7 @@
         number
     }
 
-    /// Answers the hold on the way with a list.
+    /// Answers the hold in flight with a listing.
     pub fn listing(&mut self, minion: MinionNumber, listing: Listing) {
         let sent = self.now;
         self.now += ms(2);
@@ -374,7 +375,7 @@
         self.decide();
     }
 
-    /// Answers the hold on the way with what runs and what ended, by the minion's clock of now.
+    /// Answers the hold in flight with these lists; the minion's clock shows the current time.
     pub fn list(&mut self, minion: MinionNumber, running: Vec<ListedRun>, ended: Vec<ListedEnd>) {
         self.take_holds();
         let clock = self.now;
@@ -387,7 +388,7 @@
         self.listing(minion, listing);
     }
 
-    /// Answers the hold on the way with one end and nothing that runs.
+    /// Answers the hold in flight with one end and no active runs.
     pub fn end(&mut self, minion: MinionNumber, number: u64, run: &StartOrder, kind: EndKind) {
         let ended = vec![ListedEnd {
             number,
@@ -407,7 +408,7 @@
         );
     }
 
-    /// The hold on the way brings no answer.
+    /// Lets the hold in flight fail without an answer.
     pub fn silent_hold(&mut self, minion: MinionNumber) {
         let answer = HoldAnswer::Silent(Silence::Lost);
         self.leader
@@ -433,7 +434,7 @@
         starts
     }
 
-    /// Takes out the orders of one kind.
+    /// Removes and returns the orders selected by `pick`.
     fn take<T>(&mut self, pick: impl Fn(&Order) -> Option<T>) -> Vec<T> {
         let mut taken = Vec::new();
         self.orders.retain(|order| match pick(order) {
