--- a/src/batch/driver.rs
+++ b/src/batch/driver.rs
@@ -22,9 +22,9 @@
 
 /// Calls to minions. Calls are idempotent; one without an answer may still be executed later.
 pub trait Minions: Clone + Send + Sync + 'static {
-    /// Starts a run.
+    /// Starts a run, unless the minion has already started, stopped or ended it.
     fn start(&self, to: &Target, order: &StartOrder) -> impl Future<Output = Answer> + Send;
-    /// Stops a run.
+    /// Stops a run; a start of it that arrives later is refused.
     fn stop(
         &self,
         to: &Target,
--- a/src/batch/link.rs
+++ b/src/batch/link.rs
@@ -318,12 +318,12 @@
         let mut last_received = Instant::now();
         let mut pinged_at: Option<Instant> = None;
         loop {
-            let quiet = if open.is_empty() {
+            let ping_after = if open.is_empty() {
                 PING_AFTER_IDLE
             } else {
                 PING_AFTER
             };
-            let check = pinged_at.map_or(last_received + quiet, |at| at + PONG_TIMEOUT);
+            let next_check = pinged_at.map_or(last_received + ping_after, |at| at + PONG_TIMEOUT);
             tokio::select! {
                 outgoing = rx.recv() => {
                     let Some(first) = outgoing else { return Ok(()) };
@@ -407,7 +407,7 @@
                         return Err(Error::new(Step::Transfer, "another leader was elected"));
                     }
                 }
-                () = sleep_until(check) => {
+                () = sleep_until(next_check) => {
                     // An established connection can stall permanently while new ones work.
                     if pinged_at.is_some() {
                         return Err(Error::new(Step::Transfer, "the connection fell silent"));
