--- a/src/batch/ledger/queries.rs
+++ b/src/batch/ledger/queries.rs
@@ -99,7 +99,7 @@
         self.unstarted.iter().filter(of_queue).count()
     }
 
-    /// Jobs that the latest command ended.
+    /// Jobs whose recorded end time equals that of the latest command.
     pub(crate) fn ended_now(&self) -> impl Iterator<Item = JobId> + '_ {
         let latest = self.ended.iter().rev();
         let latest = latest.take_while(|(at, _)| *at == self.clock);
