--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -1,5 +1,4 @@
-//! What happens to a request that arrives or has no slot at once: admitted, queued, sent to wait
-//! at a peer, or refused early.
+//! Admission of requests: start at once, queue here, forward to the queue of a peer, or refuse.
 
 use std::time::Duration;
 
@@ -10,13 +9,14 @@
 use crate::routing::choice::Choose;
 use crate::routing::model::{Effect, Origin, Request, RequestId, RouteError};
 use crate::routing::peers::wait_share;
-use crate::routing::router::{Live, Place, RETRY_AFTER_MIN, Router};
+use crate::routing::router::{Destination, PendingRequest, RETRY_AFTER_MIN, Router};
 
-/// Service time assumed before one was measured.
-const SERVICE_TIME_GUESS: Duration = Duration::from_millis(20);
-/// Share of the own wait below which a peer's wait must lie to send a request to wait there.
+/// Mean service time assumed before the first successful response.
+const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(20);
+/// A request is forwarded to a peer's queue only if the wait there is below this percentage of the
+/// wait here.
 const PEER_WAIT_PERCENT: u64 = 50;
-/// Share of the mean service time added to it when a deadline is judged, as a divisor.
+/// Fraction of the mean service time, as a divisor, added to it as a margin in deadline checks.
 const SERVICE_MARGIN_DIVISOR: u32 = 10;
 
 impl<C: Choose> Router<C> {
@@ -39,17 +39,17 @@
             state.budget.earn(now, percent);
         }
         self.deadlines.insert((request.deadline, id));
-        let live = Live {
+        let pending = PendingRequest {
             request,
             attempts: Vec::new(),
-            tries: 0,
+            attempts_started: 0,
             tried: Vec::new(),
             fallback: None,
             may_have_run: false,
-            gone: false,
+            cancelled: false,
             hedge_at: None,
         };
-        self.requests.insert(id, live);
+        self.requests.insert(id, pending);
         self.dispatch(now, id, out);
     }
 
@@ -61,16 +61,16 @@
         self.limits.admit(now, &request.team, limits, entries)
     }
 
-    /// Starts a try at once if a slot is free anywhere, else queues or refuses.
+    /// Starts an attempt if a slot is free here or at a peer, else queues or refuses the request.
     pub(super) fn dispatch(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Effect>) {
-        if let Some(place) = self.place(now, id) {
-            return self.start(now, id, place, out);
+        if let Some(destination) = self.pick_destination(now, id) {
+            return self.start(now, id, destination, out);
         }
-        let Some(live) = self.requests.get(&id) else {
+        let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        let service = live.request.service.clone();
-        let from_caller = live.request.origin == Origin::Caller;
+        let service = pending.request.service.clone();
+        let from_caller = pending.request.origin == Origin::Caller;
         if self.slots_here(now, &service) == 0 && self.peers.total(&service).0 == 0 {
             if self.announced.get(&service).copied().unwrap_or(0) == 0 {
                 let reason = format_compact!("no minion of {service} is announced");
@@ -81,33 +81,33 @@
                 return self.fail_not_run(now, id, reason, RETRY_AFTER_MIN, out);
             }
         }
-        if from_caller && let Some(peer) = self.shorter_queue(now, id, &service) {
-            return self.start(now, id, Place::Peer(peer), out);
+        if from_caller && let Some(peer) = self.peer_with_shorter_queue(now, id, &service) {
+            return self.start(now, id, Destination::Peer(peer), out);
         }
         self.enqueue(now, id, out);
     }
 
-    /// A peer where the request would wait much less than here.
-    fn shorter_queue(
+    /// The peer with the shortest queue, if the request would wait much less there than here.
+    fn peer_with_shorter_queue(
         &self,
         now: Timestamp,
         id: RequestId,
         service: &ServiceName,
     ) -> Option<EntryId> {
-        let live = self.requests.get(&id)?;
-        let tried = |peer: &EntryId| live.tried.contains(peer);
-        let (peer, theirs) = self.peers.shortest(service, tried)?;
+        let pending = self.requests.get(&id)?;
+        let tried = |peer: &EntryId| pending.tried.contains(peer);
+        let (peer, peer_wait) = self.peers.shortest(service, tried)?;
         let slots = self.slots_here(now, service);
         let waiting = self.services.get(service).map_or(0, |s| s.queue.len());
-        let ours = wait_share(waiting as u32, slots);
-        (slots == 0 || theirs * 100 < ours * PEER_WAIT_PERCENT).then_some(peer)
+        let own_wait = wait_share(waiting as u32, slots);
+        (slots == 0 || peer_wait * 100 < own_wait * PEER_WAIT_PERCENT).then_some(peer)
     }
 
     fn enqueue(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Effect>) {
-        let Some(live) = self.requests.get(&id) else {
+        let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        let request = &live.request;
+        let request = &pending.request;
         let name = request.service.clone();
         let (team, priority) = (request.team.clone(), request.priority);
         let left = request.deadline.saturating_sub(now);
@@ -137,30 +137,31 @@
         state.queue.push(id, &team, priority);
     }
 
-    /// Time until a request with `ahead` others before it has a slot and is answered.
+    /// Expected time until a request with `ahead` others before it in the queue is answered.
     fn expected_wait(&self, now: Timestamp, service: &ServiceName, ahead: usize) -> Duration {
         let mean = self.services.get(service).and_then(|s| s.latency.mean());
-        let mean = mean.unwrap_or(SERVICE_TIME_GUESS);
+        let mean = mean.unwrap_or(DEFAULT_SERVICE_TIME);
         let slots = self.slots_here(now, service).max(1);
-        let turns = u32::try_from(ahead).unwrap_or(u32::MAX).saturating_add(1);
-        self.expected_service(service) + mean * turns / slots
+        let requests = u32::try_from(ahead).unwrap_or(u32::MAX).saturating_add(1);
+        self.expected_service(service) + mean * requests / slots
     }
 
-    /// Time within which a started request is likely to be answered; zero when nothing is known.
+    /// Expected time from the start of an attempt to its response, with a margin; zero before the
+    /// first successful response.
     fn expected_service(&self, service: &ServiceName) -> Duration {
         let mean = self.services.get(service).and_then(|s| s.latency.mean());
         let mean = mean.unwrap_or_default();
         mean + mean / SERVICE_MARGIN_DIVISOR
     }
 
-    /// Whether a queued request would hardly be answered in time if it started now. Starting it
-    /// would waste the slot and turn a clean refusal into an unknown outcome.
+    /// Whether a queued request is unlikely to be answered before its deadline if it started now.
+    /// Starting it would waste the slot and turn a definite refusal into an unknown outcome.
     pub(super) fn is_too_late(&self, now: Timestamp, id: RequestId) -> bool {
-        let Some(live) = self.requests.get(&id) else {
+        let Some(pending) = self.requests.get(&id) else {
             return true;
         };
-        let left = live.request.deadline.saturating_sub(now);
-        left < self.expected_service(&live.request.service)
+        let left = pending.request.deadline.saturating_sub(now);
+        left < self.expected_service(&pending.request.service)
     }
 }
 
--- a/src/routing/budget.rs
+++ b/src/routing/budget.rs
@@ -1,18 +1,18 @@
-//! Retry budget: how many tries beyond the first a service may make.
+//! Retry budget: a token bucket that limits the retries and hedged attempts of a service.
 
 use std::time::Duration;
 
 use crate::ids::Timestamp;
 
-/// Retries a service may make in one burst, also when it has few requests.
+/// Capacity of the bucket: retries a service may make in one burst, also with few requests.
 const BURST: f64 = 20.0;
-/// Retries earned a second without any request, so that a quiet service can retry at all.
+/// Refill per second without any request, so that a service with little traffic can retry at all.
 const PER_SECOND: f64 = 1.0;
 
-/// Retries earned by requests and spent by tries beyond the first.
+/// Token bucket filled by requests and drained by retries and hedged attempts.
 ///
-/// When a part of the minions fails, each retry is load on the rest; without a bound they fail
-/// too. With it, the rest gets at most the declared percentage on top.
+/// When some minions fail, each retry is additional load on the others and, without a limit,
+/// overloads them too. The budget limits that load to the declared percentage of requests.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     tokens: f64,
@@ -29,13 +29,13 @@
 }
 
 impl RetryBudget {
-    /// Earns for one request at `percent` retries per hundred.
+    /// Adds `percent` hundredths of a retry for one request, up to the capacity.
     pub fn earn(&mut self, now: Timestamp, percent: u32) {
         self.refill(now);
         self.tokens = (self.tokens + f64::from(percent) / 100.0).min(BURST);
     }
 
-    /// Spends one retry, if there is one.
+    /// Takes one retry; false when less than a whole one is left.
     pub fn spend(&mut self, now: Timestamp) -> bool {
         self.refill(now);
         if self.tokens < 1.0 {
--- a/src/routing/limits.rs
+++ b/src/routing/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on a team's quick requests: this entry host's share of the cell's limit.
+//! Request rate and concurrency limits of workspaces: this entry host's share of the cell's limit.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,24 +6,24 @@
 use crate::document::Limits;
 use crate::ids::{TeamName, Timestamp};
 
-/// Span over which unused requests a second add up.
+/// Capacity of the token bucket, in seconds of the permitted rate.
 const BURST_SECONDS: f64 = 0.5;
 
 #[derive(Clone, Debug)]
 struct Usage {
     tokens: f64,
     at: Timestamp,
-    in_work: u32,
+    in_progress: u32,
 }
 
-/// Usage of each team here, against an equal share of the cell's limit for each live entry host.
+/// Usage of each workspace here. Every live entry host gets an equal share of the cell's limit.
 #[derive(Clone, Debug, Default)]
 pub struct TeamLimits {
     teams: HashMap<TeamName, Usage>,
 }
 
 impl TeamLimits {
-    /// Takes one request in, or says when to come back.
+    /// Admits one request, or returns the time after which to retry.
     pub fn admit(
         &mut self,
         now: Timestamp,
@@ -37,9 +37,9 @@
         let usage = self.teams.entry(team.clone()).or_insert(Usage {
             tokens: burst,
             at: now,
-            in_work: 0,
+            in_progress: 0,
         });
-        if limits.concurrent > 0 && usage.in_work >= limits.concurrent.div_ceil(entries) {
+        if limits.concurrent > 0 && usage.in_progress >= limits.concurrent.div_ceil(entries) {
             return Err(Duration::from_secs(1));
         }
         if limits.requests_per_second > 0 {
@@ -51,20 +51,20 @@
             }
             usage.tokens -= 1.0;
         }
-        usage.in_work += 1;
+        usage.in_progress += 1;
         Ok(())
     }
 
-    /// Ends one request that was taken in.
+    /// Ends one admitted request and frees its share of the concurrency limit.
     pub fn finish(&mut self, team: &TeamName) {
         if let Some(usage) = self.teams.get_mut(team) {
-            usage.in_work = usage.in_work.saturating_sub(1);
+            usage.in_progress = usage.in_progress.saturating_sub(1);
         }
     }
 
-    /// Forgets teams that are gone from the document and idle.
+    /// Drops the usage of workspaces that are no longer `known` and have no request in progress.
     pub fn retain(&mut self, known: impl Fn(&TeamName) -> bool) {
         self.teams
-            .retain(|team, usage| usage.in_work > 0 || known(team));
+            .retain(|team, usage| usage.in_progress > 0 || known(team));
     }
 }
--- a/src/routing/minion.rs
+++ b/src/routing/minion.rs
@@ -1,4 +1,4 @@
-//! One owned minion: its slots, what may still be in work there, and its health.
+//! Slots, held slots and health of one owned minion.
 
 use std::time::Duration;
 
@@ -7,77 +7,81 @@
 use crate::routing::model::SlotReport;
 use crate::wire::OwnedMinion;
 
-/// Failures in a row after which a minion that answers is ejected.
+/// Consecutive failures after which a reachable minion is ejected.
 const EJECT_AFTER: u32 = 5;
-/// First ejection; each further one without a success between is longer by the same.
+/// Duration of the first ejection; each consecutive one is longer by the same amount.
 const EJECT_STEP: Duration = Duration::from_secs(2);
-/// Longest ejection.
+/// Maximum duration of an ejection.
 const EJECT_MAX: Duration = Duration::from_secs(30);
-/// First wait between probes of a minion that can't be reached.
+/// Initial backoff between probes of an unreachable minion, doubled on each failure.
 const PROBE_FIRST: Duration = Duration::from_millis(100);
-/// Longest wait between probes.
+/// Maximum backoff between probes of an unreachable minion.
 const PROBE_MAX: Duration = Duration::from_secs(2);
-/// Time between probes of a minion with held slots, and age at which a hold can be corrected.
-const RECHECK: Duration = Duration::from_millis(200);
-/// Times slower than the service's mean at which a minion gets fewer requests at once.
+/// Interval between probes of a minion with held slots. A slot held for less than this when the
+/// probe was sent is not released by it.
+const HOLD_RECHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// A minion gets fewer concurrent requests when its mean service time exceeds this multiple of the
+/// service's mean.
 const SLOW_FACTOR: u32 = 3;
 
-/// Whether a minion gets requests.
+/// Health of a minion, which decides whether it gets requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It works; failures in a row so far.
+    /// Reachable and not ejected.
     Up {
-        /// Failures in a row.
+        /// Consecutive failures.
         failures: u32,
     },
-    /// It can't be reached and is probed.
+    /// Unreachable; it gets no requests and is probed until a probe succeeds.
     Down {
-        /// Time until the next probe after the one under way.
+        /// Delay before the probe that is scheduled; doubled when that one fails.
         backoff: Duration,
     },
-    /// It answers but fails, and gets nothing until then.
+    /// Reachable but failing; it gets no requests for a limited time.
     Ejected {
-        /// When it gets a trial.
+        /// When the trial starts.
         until: Timestamp,
-        /// Ejections in a row.
-        strikes: u32,
+        /// Consecutive ejections, this one included.
+        ejections: u32,
     },
-    /// It gets one request at a time until one succeeds.
+    /// After an ejection or an outage: one request at a time until one succeeds.
     Trial {
-        /// Ejections in a row.
-        strikes: u32,
+        /// Consecutive ejections before the trial; 0 after an outage.
+        ejections: u32,
     },
 }
 
-/// A slot kept held for a request that nobody waits for but that may still be in work.
+/// A slot reserved for an abandoned request that the minion may still be processing.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Hold {
-    /// When it was given up.
+pub(super) struct HeldSlot {
+    /// When the request was abandoned.
     since: Timestamp,
-    /// When the slot is free without the minion's word.
+    /// When the slot is released without confirmation by the minion.
     until: Timestamp,
 }
 
-/// One minion this entry host owns, or owned until its last request there ends.
+/// A minion owned by this entry host, or owned before and kept until its last request here ends.
 #[derive(Clone, Debug)]
 pub struct Minion {
-    /// What control says of it.
+    /// Announcement and ownership from the latest feed.
     pub(super) owned: OwnedMinion,
-    /// Slots in use by requests of which this process waits for the answer.
+    /// Slots used by requests whose response this process awaits.
     pub(super) in_flight: u32,
-    /// Requests that may still be in work though nobody waits.
-    pub(super) holds: Vec<Hold>,
-    /// Whether it is unknown what an earlier owner left in work.
+    /// Slots reserved for abandoned requests that may still be running.
+    pub(super) holds: Vec<HeldSlot>,
+    /// Whether requests of an earlier owner may still be running, in unknown number. The minion
+    /// gets no requests until a probe has told how many.
     pub(super) settling: bool,
-    /// Whether control names another owner or none.
-    pub(super) gone: bool,
-    /// Whether control was told that it is drained.
+    /// Whether the latest feed names another owner or none.
+    pub(super) disowned: bool,
+    /// Whether the minion is drained and was reported to the control plane as released.
     pub(super) released: bool,
     pub(super) health: Health,
     pub(super) latency: Latency,
     pub(super) next_probe: Option<Timestamp>,
     slots: u32,
-    pace: u32,
+    /// Concurrent requests allowed; below `slots` while the minion is slow.
+    concurrency: u32,
 }
 
 impl Minion {
@@ -87,81 +91,84 @@
             owned,
             in_flight: 0,
             holds: Vec::new(),
-            gone: false,
+            disowned: false,
             released: false,
             health: Health::Up { failures: 0 },
             latency: Latency::default(),
             next_probe: None,
             slots,
-            pace: slots,
+            concurrency: slots,
         }
     }
 
-    /// Slots it has, by its word or the service's.
+    /// Slots as announced by the minion or else declared by the service, at most its connections.
     pub const fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Requests that are or may be in work there.
+    /// Slots used or held: requests that are or may be running on the minion.
     pub fn in_use(&self) -> u32 {
         self.in_flight + self.holds.len() as u32
     }
 
-    /// Requests it may have in work now.
+    /// Requests that may run on the minion at once, given its health and ownership.
     pub fn limit(&self) -> u32 {
-        let closed = self.gone || self.settling || self.owned.leaving || self.owned.release;
+        let excluded = self.disowned || self.settling || self.owned.leaving || self.owned.release;
         match self.health {
-            _ if closed => 0,
-            Health::Up { .. } => self.pace.min(self.slots),
+            _ if excluded => 0,
+            Health::Up { .. } => self.concurrency.min(self.slots),
             Health::Trial { .. } => 1,
             Health::Down { .. } | Health::Ejected { .. } => 0,
         }
     }
 
-    /// Slots that take a request now.
+    /// Free slots, within the limit.
     pub fn free(&self) -> u32 {
-        // A trial is one request, whatever else is held: its limit is not the minion's size.
-        let room = self.slots.saturating_sub(self.in_use());
-        room.min(self.limit().saturating_sub(self.in_use()))
+        // Used and held slots count against the limit too: during a trial the limit is 1, however
+        // many slots the minion has.
+        let free_slots = self.slots.saturating_sub(self.in_use());
+        free_slots.min(self.limit().saturating_sub(self.in_use()))
     }
 
-    /// Its health.
+    /// Health by the requests and probes of this entry host alone.
     pub const fn health(&self) -> Health {
         self.health
     }
 
     pub(super) fn resize(&mut self, slots: u32) {
-        let full_pace = self.pace >= self.slots;
+        let unlimited = self.concurrency >= self.slots;
         self.slots = slots;
-        if full_pace || self.pace > slots {
-            self.pace = slots;
+        if unlimited || self.concurrency > slots {
+            self.concurrency = slots;
         }
     }
 
-    /// Keeps a slot held after its answer was given up: the minion may still work on it.
+    /// Turns a used slot into a held one after its request was abandoned: the minion may still be
+    /// processing it.
     pub(super) fn hold(&mut self, now: Timestamp, until: Timestamp) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.holds.push(Hold { since: now, until });
-        self.probe_by(now + RECHECK);
+        self.holds.push(HeldSlot { since: now, until });
+        self.probe_by(now + HOLD_RECHECK_INTERVAL);
     }
 
     pub(super) fn finish(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Fewer requests at once for a minion much slower than the others, in proportion; more
-    /// again as it recovers. Without it a slow minion holds slots that others would turn over.
-    pub(super) fn pace_against(&mut self, service_mean: Option<Duration>) {
+    /// Reduces the concurrency of a minion much slower than the service's mean, in proportion, and
+    /// restores it as the minion recovers. Otherwise requests occupy the slots of a slow minion
+    /// that faster ones could have completed.
+    pub(super) fn limit_concurrency(&mut self, service_mean: Option<Duration>) {
         let (Some(own), Some(service)) = (self.latency.mean(), service_mean) else {
             return;
         };
         let allowed = service * SLOW_FACTOR;
         if own <= allowed {
-            self.pace = self.slots;
+            self.concurrency = self.slots;
             return;
         }
         let share = allowed.as_micros() * u128::from(self.slots) / own.as_micros().max(1);
-        self.pace = u32::try_from(share)
+        self.concurrency = u32::try_from(share)
             .unwrap_or(1)
             .clamp(1, self.slots.max(1));
     }
@@ -172,7 +179,7 @@
         }
     }
 
-    /// Counts a failure; true when it is enough for ejection.
+    /// Counts a failure; true when the minion should be ejected.
     pub(super) fn failed(&mut self) -> bool {
         match &mut self.health {
             Health::Up { failures } => {
@@ -185,12 +192,12 @@
     }
 
     pub(super) fn eject(&mut self, now: Timestamp) {
-        let strikes = match self.health {
-            Health::Trial { strikes } => strikes + 1,
+        let ejections = match self.health {
+            Health::Trial { ejections } => ejections + 1,
             _ => 1,
         };
-        let until = now + (EJECT_STEP * strikes).min(EJECT_MAX);
-        self.health = Health::Ejected { until, strikes };
+        let until = now + (EJECT_STEP * ejections).min(EJECT_MAX);
+        self.health = Health::Ejected { until, ejections };
     }
 
     pub(super) fn unreachable(&mut self, now: Timestamp) {
@@ -202,8 +209,8 @@
         self.probe_by(now + backoff);
     }
 
-    /// Takes in a probe's result. `hold` is how long to wait for what a minion that reports no
-    /// slots may have in work for an earlier owner.
+    /// Handles the result of a probe. `hold` is how long slots stay held for requests of an earlier
+    /// owner. A minion that doesn't report its slots in use has all of them held.
     pub(super) fn probed(
         &mut self,
         now: Timestamp,
@@ -216,7 +223,7 @@
             return;
         };
         if matches!(self.health, Health::Down { .. }) {
-            self.health = Health::Trial { strikes: 0 };
+            self.health = Health::Trial { ejections: 0 };
         }
         if self.settling {
             let in_use = match report {
@@ -225,22 +232,23 @@
             };
             let until = now + hold;
             self.holds
-                .resize(in_use as usize, Hold { since: now, until });
+                .resize(in_use as usize, HeldSlot { since: now, until });
             self.settling = false;
         } else if let SlotReport::InUse(n) = report {
-            self.correct(sent, n);
+            self.release_finished_holds(sent, n);
         }
         if !self.holds.is_empty() {
-            self.probe_by(now + RECHECK);
+            self.probe_by(now + HOLD_RECHECK_INTERVAL);
         }
     }
 
-    /// Frees held slots beyond what the minion has in work. A request given up only just before
-    /// the probe may have been on its way and not in the count, so its slot stays held.
-    fn correct(&mut self, sent: Timestamp, in_use: u32) {
+    /// Releases held slots beyond the number that the minion reports in use. A request abandoned
+    /// just before the probe may still have been in transit and missing from that number, so its
+    /// slot stays held.
+    fn release_finished_holds(&mut self, sent: Timestamp, in_use: u32) {
         let mut counted = 0;
         self.holds.retain(|hold| {
-            if hold.since + RECHECK > sent {
+            if hold.since + HOLD_RECHECK_INTERVAL > sent {
                 return true;
             }
             counted += 1;
@@ -248,17 +256,17 @@
         });
     }
 
-    /// Lets time pass: holds end, ejections become trials.
+    /// Releases expired held slots and turns an expired ejection into a trial.
     pub(super) fn tick(&mut self, now: Timestamp) {
         self.holds.retain(|hold| hold.until > now);
-        if let Health::Ejected { until, strikes } = self.health
+        if let Health::Ejected { until, ejections } = self.health
             && until <= now
         {
-            self.health = Health::Trial { strikes };
+            self.health = Health::Trial { ejections };
         }
     }
 
-    /// Whether a probe is due; it counts as sent.
+    /// Whether a probe is due. If so, it is unscheduled: the caller must send it.
     pub(super) fn take_probe(&mut self, now: Timestamp) -> bool {
         if self.next_probe.is_some_and(|at| at <= now) {
             self.next_probe = None;
--- a/src/routing/minions.rs
+++ b/src/routing/minions.rs
@@ -1,4 +1,4 @@
-//! What the router does with control's feed, with probes, and as time goes on.
+//! Handling of control-plane feeds, probe results and timer ticks.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,13 +10,13 @@
 use crate::routing::router::Router;
 use crate::wire::{Feed, OwnedMinion};
 
-/// Slots of a minion when neither it nor the document states any.
+/// Slots of a minion when neither its announcement nor the document sets a number.
 const DEFAULT_SLOTS: u32 = 8;
-/// Longest deadline a caller may set, in multiples of the service's own.
+/// Longest deadline a caller may set, as a multiple of the service's default deadline.
 const MAX_DEADLINE_FACTOR: u32 = 2;
-/// Time requests may take when the document does not say.
+/// Default deadline of a service that is not in the document.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
-/// Share of a service's minions here that may be ejected at once, in percent.
+/// Percentage of a service's minions owned here that may be ejected at once.
 const EJECT_PERCENT: usize = 50;
 
 impl<C: Choose> Router<C> {
@@ -31,16 +31,16 @@
         let others = feed.entries.iter().filter(|(id, _)| **id != self.cfg.entry);
         self.peers.set(others.map(|(id, peer)| (id, &peer.zone)));
         self.announced = count_announced(feed);
-        self.drop_lost(feed);
+        self.remove_disowned(feed);
         let mine = |m: &&OwnedMinion| m.owner.as_ref() == Some(&self.cfg.entry);
         let mine: Vec<_> = feed.minions.values().filter(mine).cloned().collect();
         for owned in mine {
-            self.own(now, owned, out);
+            self.add_owned(now, owned, out);
         }
-        self.pump_all(now, out);
+        self.dispatch_all_queued(now, out);
     }
 
-    /// Longest time a request to this service may take.
+    /// Longest deadline of a request to the service: twice the service's default.
     pub fn longest_deadline(&self, service: &ServiceName) -> Duration {
         let own = self
             .service(service)
@@ -48,17 +48,17 @@
         own * MAX_DEADLINE_FACTOR
     }
 
-    /// Stops using minions that control no longer gives to this entry host.
-    fn drop_lost(&mut self, feed: &Feed) {
+    /// Stops using minions that are no longer assigned to this entry host.
+    fn remove_disowned(&mut self, feed: &Feed) {
         let entry = &self.cfg.entry;
         for (id, minion) in &mut self.minions {
             let owner = feed.minions.get(id).and_then(|m| m.owner.as_ref());
-            minion.gone = owner != Some(entry);
+            minion.disowned = owner != Some(entry);
         }
-        self.minions.retain(|_, m| !m.gone || m.in_flight > 0);
+        self.minions.retain(|_, m| !m.disowned || m.in_flight > 0);
     }
 
-    /// Gives up every minion, each as soon as its last request here has ended.
+    /// Releases every minion as soon as its last request here has ended.
     pub(super) fn leave(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         self.leaving = true;
         let ids: Vec<_> = self.minions.keys().cloned().collect();
@@ -70,7 +70,7 @@
         }
     }
 
-    fn own(&mut self, now: Timestamp, mut owned: OwnedMinion, out: &mut Vec<Effect>) {
+    fn add_owned(&mut self, now: Timestamp, mut owned: OwnedMinion, out: &mut Vec<Effect>) {
         owned.release |= self.leaving;
         let id = owned.minion.id.clone();
         let slots = self.slots_of(&owned);
@@ -78,7 +78,7 @@
         let same = known.filter(|m| m.owned.minion.process == owned.minion.process);
         match same {
             Some(minion) => {
-                // An epoch in between belonged to another entry host.
+                // With a new epoch and `lapsed`, a lost owner may have left requests running.
                 let changed = minion.owned.epoch != owned.epoch;
                 minion.settling |= changed && owned.lapsed;
                 minion.released &= owned.release;
@@ -105,7 +105,7 @@
         let declared = service.map_or(0, |s| s.slots);
         let connections = service.map_or(0, |s| s.connections);
         let slots = first_set([owned.minion.slots, declared, DEFAULT_SLOTS]);
-        // One request uses one connection, so the connections bound the slots too.
+        // Each request needs its own connection, so the connection limit also limits the slots.
         let connections = first_set([owned.minion.connections, connections, u32::MAX]);
         slots.min(connections)
     }
@@ -131,10 +131,10 @@
             minion.probed(now, sent, report, hold);
         }
         self.after_minion_change(now, id, out);
-        self.pump(now, &service, out);
+        self.dispatch_queued(now, &service, out);
     }
 
-    /// Sends a probe that is due, reports a drained minion, forgets one that is gone.
+    /// Sends a due probe, reports a drained minion, and drops a disowned one without requests.
     pub(super) fn after_minion_change(
         &mut self,
         now: Timestamp,
@@ -145,10 +145,10 @@
             return;
         };
         let service = &minion.owned.minion.service;
-        if !self.touched.contains(service) {
-            self.touched.push(service.clone());
+        if !self.changed_services.contains(service) {
+            self.changed_services.push(service.clone());
         }
-        if minion.gone && minion.in_flight == 0 {
+        if minion.disowned && minion.in_flight == 0 {
             self.minions.remove(id);
             return;
         }
@@ -159,7 +159,8 @@
                 epoch: minion.owned.epoch,
             });
         }
-        // A silent minion may never answer the probe that settles it, and gets no next owner.
+        // A zero TTL marks a minion whose announcement lapsed. It may never answer the probe that
+        // ends `settling`, and it gets no next owner, so it is released without that probe.
         let settled = !minion.settling || minion.owned.minion.ttl.is_zero();
         let drained = minion.owned.release && minion.in_use() == 0 && settled;
         if drained && !minion.released {
@@ -178,11 +179,11 @@
             }
             self.after_minion_change(now, &id, out);
         }
-        self.pump_all(now, out);
+        self.dispatch_all_queued(now, out);
     }
 
-    /// Whether one more minion of the service may be ejected. With most of them failing, the
-    /// fault is hardly the minions', and the rest could not carry the load.
+    /// Whether one more minion of the service may be ejected. If most of them fail, the cause is
+    /// probably not the minions, and the remaining ones could not handle the load.
     pub(super) fn may_eject(&self, service: &ServiceName) -> bool {
         let of_service = self
             .minions
@@ -196,7 +197,7 @@
         (out + 1) * 100 <= all * EJECT_PERCENT
     }
 
-    /// This entry host's load, as its peers are told.
+    /// Load of every service here, as reported to the peers.
     pub fn load(&self, now: Timestamp) -> Vec<ServiceLoad> {
         let names = self.document.services.keys();
         let loads = names.map(|name| {
@@ -205,7 +206,7 @@
             let waiting = state.map_or(0, |s| s.queue.len());
             ServiceLoad {
                 service: name.clone(),
-                // A slot that someone here waits for is not on offer.
+                // Slots needed by requests queued here are not offered to peers.
                 free: self.free_here(now, name).saturating_sub(waiting as u32),
                 slots: self.slots_here(now, name),
                 waiting: waiting as u32,
@@ -215,33 +216,36 @@
         loads.collect()
     }
 
-    /// Whether a try may go to this minion now under this ownership.
+    /// Whether an attempt may be sent to the minion: the lease holds and the epoch is unchanged.
     pub fn may_use(&self, now: Timestamp, id: &MinionId, epoch: u64) -> bool {
         let minion = self
             .minions
             .get(id)
-            .filter(|m| !m.gone && m.owned.epoch == epoch);
+            .filter(|m| !m.disowned && m.owned.epoch == epoch);
         minion.is_some() && now < self.leased_until
     }
 
-    /// Whether this entry host owns a minion.
+    /// Whether the minion is owned here, or was until its last request here ends.
     pub fn owns(&self, id: &MinionId) -> bool {
         self.minions.contains_key(id)
     }
 
-    /// Minions owned here, or owned until their last request here ends.
+    /// Number of minions for which [`Router::owns`] is true.
     pub fn owned(&self) -> usize {
         self.minions.len()
     }
 
-    /// Whether the lease from control holds.
+    /// Whether the lease on the owned minions has not expired.
     pub fn is_leased(&self, now: Timestamp) -> bool {
         now < self.leased_until
     }
 
-    /// Minions that control wants back and that are drained.
+    /// Drained minions that the control plane may assign to another entry host.
     pub fn released(&self) -> Vec<MinionId> {
-        let released = self.minions.iter().filter(|(_, m)| m.released && !m.gone);
+        let released = self
+            .minions
+            .iter()
+            .filter(|(_, m)| m.released && !m.disowned);
         released.map(|(id, _)| id.clone()).collect()
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,5 +1,6 @@
-//! Routing of quick requests: which minion works on which request, and when to queue, refuse,
-//! retry, hedge or give up. Pure state machines; the daemon under `entry` carries out effects.
+//! Routing of requests to services: selects a minion for each request and decides when to queue,
+//! refuse, retry, hedge or fail it. State machines without I/O; the daemon in `entry` carries out
+//! their effects.
 
 mod admission;
 mod budget;
--- a/src/routing/model.rs
+++ b/src/routing/model.rs
@@ -1,4 +1,4 @@
-//! Events that go into the router and effects that come out.
+//! Input events and output effects of the router.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,221 +11,221 @@
 use crate::ids::{EntryId, MinionId, ProcessId, ServiceName, TeamName, Timestamp, ZoneName};
 use crate::wire::Feed;
 
-/// Number of a request within one process.
+/// Identifies a request within one process; not reused.
 pub type RequestId = u64;
-/// Number of one try of a request within one process.
+/// Identifies an attempt of a request within one process; not reused.
 pub type AttemptId = u64;
 
 /// Where a request came from.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A caller of this entry host.
+    /// An HTTP caller of this entry host.
     Caller,
-    /// Another entry host; it is answered here or refused, never forwarded again.
+    /// The entry host that forwarded it; it is answered here or refused, never forwarded again.
     Peer(EntryId),
 }
 
-/// A request as the router sees it. Times are of the process's monotonic clock.
+/// The properties of a request that routing depends on. Times are on the process's monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its number.
+    /// Assigned on arrival at this entry host; a forwarded request gets a new one there.
     pub id: RequestId,
-    /// Service asked.
+    /// Service that the request is for.
     pub service: ServiceName,
-    /// Team charged.
+    /// Workspace whose limits the request counts against.
     pub team: TeamName,
-    /// Order in the queue.
+    /// Priority in the service's queue.
     pub priority: QueuePriority,
-    /// When it arrived.
+    /// Arrival time at this entry host.
     pub arrived: Timestamp,
-    /// When its answer is no longer wanted.
+    /// When the request fails if it has not been answered.
     pub deadline: Timestamp,
-    /// Whether it may run twice.
+    /// Whether it may run more than once, so that it may be retried and hedged.
     pub idempotent: bool,
-    /// Who sent it here.
+    /// Whether it came from a caller or was forwarded by a peer.
     pub origin: Origin,
 }
 
-/// Something the router must know.
+/// An input of the router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request arrived.
+    /// A request arrived from a caller or a peer.
     Arrived(Request),
-    /// The one who sent the request no longer waits for it.
+    /// The caller or peer disconnected or withdrew the request.
     Cancelled(RequestId),
-    /// A try ended.
+    /// An attempt ended. Ignored if the attempt was aborted before.
     Ended {
-        /// The try.
+        /// As given in [`Effect::Start`].
         attempt: AttemptId,
-        /// How.
+        /// Whether a response arrived and whether the request may have run.
         end: AttemptEnd,
     },
-    /// Control sent a new state.
+    /// The control plane sent a new feed.
     Feed(Arc<Feed>),
-    /// The entry host's lease on its minions runs until then.
+    /// The lease on the owned minions was renewed until this time.
     Leased(Timestamp),
-    /// A peer reported its load; the list is whole.
+    /// A peer reported its load.
     PeerLoad {
-        /// The peer.
+        /// The entry host that reported.
         peer: EntryId,
-        /// Its services.
+        /// All its services; replaces the previous report.
         services: Vec<ServiceLoad>,
     },
-    /// No connection to a peer.
+    /// The connection to a peer was lost; its last load report no longer counts.
     PeerLost(EntryId),
     /// A probe of a minion over a new connection ended.
     Probed {
-        /// The minion.
+        /// Target of the probe.
         minion: MinionId,
-        /// Ownership during which it was asked.
+        /// Ownership epoch when the probe was sent; results of another epoch are ignored.
         epoch: u64,
         /// When the probe was sent.
         sent: Timestamp,
-        /// What it said; none when it could not be reached.
+        /// Slots in use; none when the minion was unreachable.
         report: Option<SlotReport>,
     },
-    /// This entry host stops as planned: every minion is given up once drained.
+    /// Planned shutdown of this entry host: every minion is released once drained.
     Leaving,
-    /// Time went on.
+    /// Timer tick for deadlines, hedged attempts, probes and ejections.
     Tick,
 }
 
-/// What a minion says about itself.
+/// Response of a minion to a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotReport {
-    /// Requests in work.
+    /// Number of requests that the minion is processing.
     InUse(u32),
-    /// It answers but does not report slots.
+    /// The minion is reachable but does not report its slots.
     Silent,
 }
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// A whole answer is held.
+    /// A complete response was received and is kept until it is delivered or dropped.
     Answered {
-        /// Whether the answer is a failure of the server's own (status 5xx).
+        /// Whether the response is a server error (status 5xx).
         failed: bool,
     },
-    /// It is proved that nothing ran.
+    /// The request certainly did not run.
     NotRun {
-        /// When the other side wants to be asked again, if it said so.
+        /// The retry-after time sent by the minion or peer, if any.
         retry_after: Option<Duration>,
-        /// Whether the other side could not be reached at all.
+        /// Whether no connection to the minion or peer could be made.
         unreachable: bool,
     },
-    /// No whole answer came, and the request may have run.
+    /// No complete response arrived, and the request may have run.
     Broken {
-        /// Whether the other side was silent, so that its open connections may be dead.
+        /// Whether nothing was received in time, so that open connections may be dead.
         silent: bool,
     },
 }
 
-/// Where a try goes.
+/// Destination of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A minion that this entry host owns.
     Minion {
-        /// Its name.
+        /// Name under which the minion announced itself.
         id: MinionId,
-        /// Its process.
+        /// Changes when the minion restarts.
         process: ProcessId,
-        /// Its address.
+        /// Address that serves requests.
         addr: SocketAddr,
-        /// Its availability zone.
+        /// Availability zone, for access logs.
         zone: ZoneName,
-        /// Ownership under which it is used.
+        /// Ownership epoch, sent to the minion and checked again before the request is sent.
         epoch: u64,
     },
-    /// Another entry host.
+    /// Another entry host, which runs the request on one of its minions.
     Peer(EntryId),
 }
 
-/// Something the daemon must do.
+/// An action for the daemon to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Start a try.
+    /// Send the request to a minion or peer.
     Start {
-        /// Its number.
+        /// New identifier, for [`Event::Ended`].
         attempt: AttemptId,
-        /// The request.
+        /// Request to send.
         request: RequestId,
-        /// Where.
+        /// Minion or peer to send it to.
         target: Target,
-        /// When to stop waiting for its answer.
+        /// When to end the attempt if no response has arrived.
         until: Timestamp,
     },
-    /// Stop a try; its answer is dropped if it comes.
+    /// Stop an attempt and drop its response if one arrives.
     Abort(AttemptId),
-    /// Tell the peer of this try that nobody waits, so that it starts nothing for it.
+    /// Cancel the request at the peer of this attempt, so that a queued one is not started there.
     Withdraw(AttemptId),
-    /// Give the caller the answer of this try. Final.
+    /// Send the response of an attempt to the caller; ends the request.
     Deliver {
-        /// The request.
+        /// Request to end.
         request: RequestId,
-        /// The try whose answer is given.
+        /// Attempt whose response is sent.
         attempt: AttemptId,
     },
-    /// Tell the caller that no answer will come. Final.
+    /// Send an error to the caller; ends the request.
     Fail {
-        /// The request.
+        /// Request to end.
         request: RequestId,
-        /// Why.
+        /// Reason, and whether the request may have run.
         error: RouteError,
     },
-    /// Ask a minion over a new connection what it has in work.
+    /// Query the slots in use of a minion over a new connection.
     Probe {
-        /// The minion.
+        /// Minion to probe.
         minion: MinionId,
-        /// Its address.
+        /// Address that serves requests and probes.
         addr: SocketAddr,
-        /// Ownership during which it is asked.
+        /// Ownership epoch, returned in [`Event::Probed`].
         epoch: u64,
     },
-    /// Close the idle connections to a minion; they may have gone silent.
+    /// Close the idle connections to a minion, which may be dead or belong to a previous process.
     Reconnect(MinionId),
-    /// Nothing is in flight at a minion that control wants back: tell control.
+    /// A minion is drained that is to be released: report it to the control plane.
     Released(MinionId),
-    /// Tell peers how much is free.
+    /// Send the current load to the peers.
     AnnounceLoad,
 }
 
-/// Why a request gets no answer from a minion.
+/// Why a request failed without a response from a minion.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// Proved that nothing ran.
+    /// The request certainly did not run.
     #[error("{reason}")]
     NotRun {
-        /// A sentence for the caller.
+        /// Message for the caller.
         reason: CompactString,
-        /// When to come back.
+        /// Time after which the caller should retry.
         retry_after: Duration,
-        /// Whether the deadline passed, rather than capacity lacking.
+        /// Whether the deadline passed; otherwise capacity was lacking.
         late: bool,
-        /// Whether the caller's own team is at its limit.
+        /// Whether the workspace is at its own limit.
         limited: bool,
     },
-    /// It may have run.
+    /// The request may have run.
     #[error("{reason}")]
     Unknown {
-        /// A sentence for the caller.
+        /// Message for the caller.
         reason: CompactString,
-        /// Whether the deadline passed, rather than the connection failing.
+        /// Whether the deadline passed; otherwise the connection failed.
         late: bool,
     },
 }
 
-/// One service's load at one entry host.
+/// Load of one service at one entry host, as reported to the peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceLoad {
-    /// The service.
+    /// Service that the numbers are for.
     pub service: ServiceName,
-    /// Slots that take a request now.
+    /// Free slots that are not needed by requests queued at the reporting entry host.
     pub free: u32,
-    /// Slots in all.
+    /// Usable slots, free or not.
     pub slots: u32,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u32,
-    /// Mean service time in microseconds; 0 when nothing was measured.
+    /// Mean service time in microseconds; 0 before the first successful response.
     pub service_us: u32,
 }
--- a/src/routing/peers.rs
+++ b/src/routing/peers.rs
@@ -1,4 +1,4 @@
-//! What this entry host believes of the others' load.
+//! Estimated load of the other entry hosts, from their reports.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,18 +9,18 @@
 #[derive(Clone, Debug, Default)]
 struct Peer {
     zone: ZoneName,
-    /// None while there is no connection.
+    /// Last report; none while there is no connection.
     loads: Option<HashMap<ServiceName, ServiceLoad>>,
 }
 
-/// Other entry hosts with their reported load, corrected by what was sent there since.
+/// The other live entry hosts with their last reported load, adjusted for requests sent since.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
     peers: BTreeMap<EntryId, Peer>,
 }
 
 impl Peers {
-    /// Takes in the list of entry hosts alive.
+    /// Sets the list of live peers and keeps the reports of those that remain.
     pub(super) fn set<'a>(&mut self, alive: impl Iterator<Item = (&'a EntryId, &'a ZoneName)>) {
         let mut old = std::mem::take(&mut self.peers);
         for (id, zone) in alive {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Peers with a free slot, as candidates; the index is a position in the list of peers.
+    /// Peers with a free slot; a candidate's index is valid for [`Peers::name`].
     pub(super) fn free(
         &self,
         service: &ServiceName,
@@ -67,7 +67,7 @@
         self.loads(service).any(|(_, load)| load.free > 0)
     }
 
-    /// The peer where a request would wait least: requests waiting per thousand slots.
+    /// The peer with the shortest queue relative to its slots, with its [`wait_share`].
     pub(super) fn shortest(
         &self,
         service: &ServiceName,
@@ -81,7 +81,7 @@
             .min_by_key(|(_, share)| *share)
     }
 
-    /// Slots and waiting requests of all peers together.
+    /// Total slots and queued requests of all peers.
     pub(super) fn total(&self, service: &ServiceName) -> (u32, u32) {
         let add = |(slots, waiting), (_, load): (_, &ServiceLoad)| {
             (slots + load.slots, waiting + load.waiting)
@@ -94,7 +94,7 @@
         self.peers.keys().nth(index).cloned()
     }
 
-    /// Counts a request sent there against its reported load.
+    /// Adjusts the peer's load for a request sent to it, until its next report.
     pub(super) fn sent(&mut self, id: &EntryId, service: &ServiceName) {
         if let Some(load) = self.load_mut(id, service) {
             if load.free > 0 {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The peer refused: what it reported is out of date.
+    /// Sets the peer's free slots to 0 until its next report, because it refused a request.
     pub(super) fn full(&mut self, id: &EntryId, service: &ServiceName) {
         if let Some(load) = self.load_mut(id, service) {
             load.free = 0;
@@ -125,7 +125,7 @@
     }
 }
 
-/// Requests waiting per thousand slots, once one more waits.
+/// Queued requests per thousand slots, counting one more.
 pub(super) fn wait_share(waiting: u32, slots: u32) -> u64 {
     (u64::from(waiting) + 1) * 1000 / u64::from(slots.max(1))
 }
--- a/src/routing/queue.rs
+++ b/src/routing/queue.rs
@@ -1,4 +1,4 @@
-//! Bounded queue of one service: by priority, then teams in turn, then arrival.
+//! Queue of one service, ordered by priority, then round-robin over workspaces, then by arrival.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,88 +6,91 @@
 use crate::ids::TeamName;
 use crate::routing::model::RequestId;
 
-/// Priorities, as many as [`QueuePriority`] has.
+/// Number of [`QueuePriority`] variants.
 const PRIORITIES: usize = 3;
-/// Removed requests that may stay in the lanes before they are swept out.
-const SWEEP_FLOOR: usize = 64;
+/// The levels are compacted once removed entries outnumber waiting requests by more than this.
+const COMPACT_THRESHOLD: usize = 64;
 
+/// Requests of one priority, with a FIFO queue for each workspace.
 #[derive(Clone, Debug, Default)]
-struct Lane {
-    turns: VecDeque<TeamName>,
+struct PriorityLevel {
+    /// Workspaces with queued requests, in the order in which they are served next.
+    round_robin: VecDeque<TeamName>,
     teams: HashMap<TeamName, VecDeque<RequestId>>,
+    /// Waiting requests, without removed ones that are still in `teams`.
     waiting: usize,
 }
 
-impl Lane {
+impl PriorityLevel {
     fn push(&mut self, team: &TeamName, id: RequestId) {
         let waiting = self.teams.entry(team.clone()).or_default();
         if waiting.is_empty() {
-            self.turns.push_back(team.clone());
+            self.round_robin.push_back(team.clone());
         }
         waiting.push_back(id);
     }
 
     fn pop(&mut self) -> Option<RequestId> {
-        let team = self.turns.pop_front()?;
+        let team = self.round_robin.pop_front()?;
         let waiting = self.teams.get_mut(&team)?;
         let id = waiting.pop_front();
         if waiting.is_empty() {
             self.teams.remove(&team);
         } else {
-            self.turns.push_back(team);
+            self.round_robin.push_back(team);
         }
         id
     }
 
-    fn sweep(&mut self, keep: impl Fn(RequestId) -> bool) {
+    fn compact(&mut self, keep: impl Fn(RequestId) -> bool) {
         for waiting in self.teams.values_mut() {
             waiting.retain(|id| keep(*id));
         }
         self.teams.retain(|_, waiting| !waiting.is_empty());
         let teams = &self.teams;
-        self.turns.retain(|team| teams.contains_key(team));
+        self.round_robin.retain(|team| teams.contains_key(team));
     }
 }
 
-/// Requests of one service that wait for a slot.
+/// Requests of one service that wait for a slot. The caller of [`Queue::push`] bounds its length.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
-    lanes: [Lane; PRIORITIES],
+    levels: [PriorityLevel; PRIORITIES],
     waiting: HashMap<RequestId, QueuePriority>,
-    /// Removed requests still in a lane: removal is O(1), they are passed over or swept later.
+    /// Removed requests still in a level: removal is O(1), `pop` skips them, `compact` drops them.
     removed: usize,
 }
 
 impl Queue {
-    /// Requests that wait.
+    /// Number of waiting requests, without removed ones.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no request waits; removed ones don't count.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Requests that would be served before a new one of this priority.
+    /// Waiting requests of this or a higher priority: the most that can be served before a new one.
     pub fn ahead_of(&self, priority: QueuePriority) -> usize {
-        let lanes = &self.lanes[priority as usize..];
-        lanes.iter().map(|lane| lane.waiting).sum()
+        let levels = &self.levels[priority as usize..];
+        levels.iter().map(|level| level.waiting).sum()
     }
 
-    /// Adds a request at the end of its team's turn.
+    /// Adds a request at the end of its workspace's FIFO queue.
     pub fn push(&mut self, id: RequestId, team: &TeamName, priority: QueuePriority) {
-        let lane = &mut self.lanes[priority as usize];
-        lane.push(team, id);
-        lane.waiting += 1;
+        let level = &mut self.levels[priority as usize];
+        level.push(team, id);
+        level.waiting += 1;
         self.waiting.insert(id, priority);
     }
 
-    /// Takes the next request in order.
+    /// Removes and returns the next request to serve.
     pub fn pop(&mut self) -> Option<RequestId> {
         for index in (0..PRIORITIES).rev() {
-            while let Some(id) = self.lanes[index].pop() {
-                if self.forget(id) {
+            while let Some(id) = self.levels[index].pop() {
+                if self.remove_waiting(id) {
                     return Some(id);
                 }
                 self.removed = self.removed.saturating_sub(1);
@@ -96,36 +99,36 @@
         None
     }
 
-    /// Takes a request out; false when it does not wait here.
+    /// Removes a request; false when it is not in the queue.
     pub fn remove(&mut self, id: RequestId) -> bool {
-        if !self.forget(id) {
+        if !self.remove_waiting(id) {
             return false;
         }
         self.removed += 1;
-        if self.removed > self.waiting.len() + SWEEP_FLOOR {
-            self.sweep();
+        if self.removed > self.waiting.len() + COMPACT_THRESHOLD {
+            self.compact();
         }
         true
     }
 
-    /// The waiting request that would be served last of those below `priority`.
+    /// The latest request of the lowest priority below `priority`, to be displaced by a new one.
     pub fn last_below(&self, priority: QueuePriority) -> Option<RequestId> {
         let below = self.waiting.iter().filter(|(_, p)| **p < priority);
         let last = below.min_by_key(|(id, p)| (**p, std::cmp::Reverse(**id)));
         last.map(|(id, _)| *id)
     }
 
-    fn forget(&mut self, id: RequestId) -> bool {
+    fn remove_waiting(&mut self, id: RequestId) -> bool {
         let Some(priority) = self.waiting.remove(&id) else {
             return false;
         };
-        self.lanes[priority as usize].waiting -= 1;
+        self.levels[priority as usize].waiting -= 1;
         true
     }
 
-    fn sweep(&mut self) {
-        for lane in &mut self.lanes {
-            lane.sweep(|id| self.waiting.contains_key(&id));
+    fn compact(&mut self) {
+        for level in &mut self.levels {
+            level.compact(|id| self.waiting.contains_key(&id));
         }
         self.removed = 0;
     }
--- a/src/routing/status.rs
+++ b/src/routing/status.rs
@@ -1,4 +1,4 @@
-//! Routing state as operators read it.
+//! Routing state for the operators' status page.
 
 use std::time::Duration;
 
@@ -9,63 +9,63 @@
 use crate::routing::minion::{Health, Minion};
 use crate::routing::router::Router;
 
-/// Everything one entry host knows about its routing.
+/// Routing state of one entry host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingStatus {
-    /// The entry host.
+    /// Name of the entry host.
     pub entry: EntryId,
-    /// Document revision in force.
+    /// Revision of the configuration document in use.
     pub revision: Revision,
-    /// Milliseconds its lease still runs; 0 when it has lapsed.
+    /// Remaining lease in milliseconds; 0 when it has expired.
     pub lease_ms: u64,
-    /// Requests without a verdict.
+    /// Requests without a final outcome, queued ones included.
     pub live: usize,
-    /// Services, by name.
+    /// All services of the document, sorted by name.
     pub services: Vec<ServiceStatus>,
-    /// Minions owned here, by name.
+    /// Minions owned here, or until their last request here ends, sorted by name.
     pub minions: Vec<MinionStatus>,
 }
 
-/// One service at one entry host.
+/// State of one service at one entry host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceStatus {
-    /// Its name.
+    /// Name in the document.
     pub service: ServiceName,
-    /// Requests that wait here.
+    /// Requests queued here.
     pub waiting: usize,
-    /// Slots that take a request now.
+    /// Free slots on minions owned here; 0 without a lease.
     pub free: u32,
-    /// Slots usable here.
+    /// Usable slots on minions owned here, free or not; 0 without a lease.
     pub slots: u32,
-    /// Slots and waiting requests of the peers together, as they last reported.
+    /// Total slots and queued requests of the peers, by their last reports.
     pub peers: (u32, u32),
 }
 
-/// One owned minion.
+/// State of one owned minion.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MinionStatus {
-    /// Its name.
+    /// Name under which the minion announced itself.
     pub minion: MinionId,
-    /// Its service.
+    /// Service that the minion serves.
     pub service: ServiceName,
-    /// Its availability zone.
+    /// Availability zone that the minion runs in.
     pub zone: ZoneName,
-    /// Number of the ownership.
+    /// Ownership epoch; it increases with every change of owner.
     pub epoch: u64,
-    /// Slots it has.
+    /// Slots, whether usable now or not.
     pub slots: u32,
-    /// Requests it may have in work now.
+    /// Requests that may run at once, given health and ownership.
     pub limit: u32,
-    /// Requests whose answer is awaited.
+    /// Requests whose response is awaited.
     pub in_flight: u32,
-    /// Slots held for requests that were given up but may still be in work.
+    /// Slots held for abandoned requests that may still be running.
     pub held: u32,
-    /// One word: `up`, `down`, `ejected`, `trial`, `settling`, `leaving`, `releasing` or `gone`.
+    /// One of `up`, `down`, `ejected`, `trial`, `settling`, `leaving`, `releasing` and `gone`.
     pub state: compact_str::CompactString,
 }
 
 impl<C: Choose> Router<C> {
-    /// Reads the routing state.
+    /// Returns a snapshot of the routing state.
     pub fn status(&self, now: Timestamp) -> RoutingStatus {
         let lease = self.leased_until.saturating_sub(now);
         RoutingStatus {
@@ -102,13 +102,13 @@
         limit: minion.limit(),
         in_flight: minion.in_flight,
         held: minion.in_use() - minion.in_flight,
-        state: state_word(minion).into(),
+        state: state_name(minion).into(),
     }
 }
 
-fn state_word(minion: &Minion) -> &'static str {
+fn state_name(minion: &Minion) -> &'static str {
     match minion.health() {
-        _ if minion.gone => "gone",
+        _ if minion.disowned => "gone",
         _ if minion.owned.release => "releasing",
         _ if minion.owned.leaving => "leaving",
         _ if minion.settling => "settling",
--- a/src/routing/verdicts.rs
+++ b/src/routing/verdicts.rs
@@ -1,4 +1,5 @@
-//! How tries end: deliver, retry, or fail with `not-run` only where that is proved.
+//! Results of attempts and requests: deliver, retry or fail. A request fails as `not-run` only if
+//! no attempt can have run.
 
 use std::time::Duration;
 
@@ -7,48 +8,48 @@
 use crate::ids::{MinionId, ProcessId, ServiceName, Timestamp};
 use crate::routing::choice::Choose;
 use crate::routing::model::{AttemptEnd, AttemptId, Effect, Origin, RequestId, RouteError};
-use crate::routing::router::{Live, Place, Router, Try};
+use crate::routing::router::{Attempt, Destination, PendingRequest, Router};
 
-/// Most tries of one request.
-const MAX_TRIES: u32 = 4;
-/// Shortest time left that is worth another try.
-const MIN_LEFT: Duration = Duration::from_millis(1);
-/// Time a slot stays held beyond the deadline of a request that was given up.
+/// Maximum attempts of one request, hedged ones included.
+const MAX_ATTEMPTS: u32 = 4;
+/// Minimum time left before the deadline for another attempt.
+const MIN_TIME_FOR_RETRY: Duration = Duration::from_millis(1);
+/// Time for which a slot stays held after the end time of its abandoned attempt.
 const HOLD_MARGIN: Duration = Duration::from_secs(1);
 
 impl<C: Choose> Router<C> {
-    pub(super) fn ended(
+    pub(super) fn attempt_ended(
         &mut self,
         now: Timestamp,
         attempt: AttemptId,
         end: AttemptEnd,
         out: &mut Vec<Effect>,
     ) {
-        // A try that was aborted is forgotten: whatever it still says is late and dropped.
+        // An aborted attempt was removed before; its late result is dropped.
         let Some(ended) = self.attempts.remove(&attempt) else {
             return;
         };
-        self.settle_place(now, &ended, end, out);
-        if let Some(live) = self.requests.get_mut(&ended.request) {
-            live.attempts.retain(|id| *id != attempt);
-            self.judge(now, ended.request, attempt, end, out);
+        self.release_destination(now, &ended, end, out);
+        if let Some(pending) = self.requests.get_mut(&ended.request) {
+            pending.attempts.retain(|id| *id != attempt);
+            self.resolve_request(now, ended.request, attempt, end, out);
         }
-        self.pump(now, &ended.service, out);
+        self.dispatch_queued(now, &ended.service, out);
     }
 
-    /// Frees or holds the slot, and learns from how the try ended.
-    fn settle_place(
+    /// Frees or holds the slot of an attempt, and updates service times and health by its result.
+    fn release_destination(
         &mut self,
         now: Timestamp,
-        ended: &Try,
+        ended: &Attempt,
         end: AttemptEnd,
         out: &mut Vec<Effect>,
     ) {
-        match &ended.place {
-            Place::Minion { id, process } => {
-                self.settle_minion(now, id, *process, ended, end, out);
+        match &ended.destination {
+            Destination::Minion { id, process } => {
+                self.release_minion_slot(now, id, *process, ended, end, out);
             }
-            Place::Peer(peer) => {
+            Destination::Peer(peer) => {
                 if let AttemptEnd::NotRun { .. } = end {
                     self.peers.full(peer, &ended.service);
                 }
@@ -56,12 +57,12 @@
         }
     }
 
-    fn settle_minion(
+    fn release_minion_slot(
         &mut self,
         now: Timestamp,
         id: &MinionId,
         process: ProcessId,
-        ended: &Try,
+        ended: &Attempt,
         end: AttemptEnd,
         out: &mut Vec<Effect>,
     ) {
@@ -85,7 +86,7 @@
                 minion.finish();
                 if !failed {
                     minion.latency.record(now.saturating_sub(ended.started));
-                    minion.pace_against(mean);
+                    minion.limit_concurrency(mean);
                     minion.succeeded();
                 }
                 failed
@@ -100,8 +101,8 @@
             AttemptEnd::Broken { silent } => {
                 minion.hold(now, ended.until.max(now) + HOLD_MARGIN);
                 if silent {
-                    // Silence speaks of the connection. Only a probe over a new one that fails
-                    // too speaks of the minion.
+                    // A timeout may be a fault of this connection alone. The minion counts as
+                    // unreachable only if a probe over a new connection fails too.
                     minion.probe_by(now);
                     out.push(Effect::Reconnect(id.clone()));
                 }
@@ -114,7 +115,7 @@
         self.after_minion_change(now, id, out);
     }
 
-    fn judge(
+    fn resolve_request(
         &mut self,
         now: Timestamp,
         id: RequestId,
@@ -122,24 +123,24 @@
         end: AttemptEnd,
         out: &mut Vec<Effect>,
     ) {
-        let Some(live) = self.requests.get_mut(&id) else {
+        let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
         match end {
             AttemptEnd::Answered { failed } => {
-                let others = !live.attempts.is_empty();
-                let again = failed && live.request.idempotent;
-                live.may_have_run = true;
-                if again {
-                    live.fallback = Some(attempt);
+                let others = !pending.attempts.is_empty();
+                let may_retry = failed && pending.request.idempotent;
+                pending.may_have_run = true;
+                if may_retry {
+                    pending.fallback = Some(attempt);
                 }
-                if again && (others || self.retry(now, id, out)) {
+                if may_retry && (others || self.retry(now, id, out)) {
                     return;
                 }
                 self.deliver(now, id, attempt, out);
             }
             AttemptEnd::NotRun { retry_after, .. } => {
-                if !live.attempts.is_empty() || self.retry(now, id, out) {
+                if !pending.attempts.is_empty() || self.retry(now, id, out) {
                     return;
                 }
                 let reason = CompactString::const_new("no minion took the request");
@@ -147,10 +148,10 @@
                 self.fail_not_run(now, id, reason, wait, out);
             }
             AttemptEnd::Broken { .. } => {
-                live.may_have_run = true;
-                let again = live.request.idempotent;
-                let late = live.request.deadline <= now;
-                if !live.attempts.is_empty() || (again && self.retry(now, id, out)) {
+                pending.may_have_run = true;
+                let may_retry = pending.request.idempotent;
+                let late = pending.request.deadline <= now;
+                if !pending.attempts.is_empty() || (may_retry && self.retry(now, id, out)) {
                     return;
                 }
                 let reason = CompactString::const_new("the answer was lost on the way");
@@ -159,21 +160,25 @@
         }
     }
 
-    /// Tries again within the deadline and the budget; false when it may not.
+    /// Dispatches the request again if the deadline and the retry budget allow it, else false.
     fn retry(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Effect>) -> bool {
-        let Some(live) = self.requests.get(&id) else {
+        let Some(pending) = self.requests.get(&id) else {
             return false;
         };
-        let left = live.request.deadline.saturating_sub(now);
-        // A forwarded request goes back to the entry host it came from, which counts the
-        // budget; retrying here too would multiply the tries.
-        let ours = live.request.origin == Origin::Caller;
-        if !ours || live.gone || live.tries >= MAX_TRIES || left < MIN_LEFT {
+        let left = pending.request.deadline.saturating_sub(now);
+        // A forwarded request is retried only by the entry host that forwarded it, from its retry
+        // budget; retrying here too would multiply the attempts.
+        let from_caller = pending.request.origin == Origin::Caller;
+        if !from_caller
+            || pending.cancelled
+            || pending.attempts_started >= MAX_ATTEMPTS
+            || left < MIN_TIME_FOR_RETRY
+        {
             return false;
         }
         let state = self
             .services
-            .entry(live.request.service.clone())
+            .entry(pending.request.service.clone())
             .or_default();
         if !state.budget.spend(now) {
             return false;
@@ -182,17 +187,17 @@
         true
     }
 
-    /// Starts second tries that are due.
+    /// Starts hedged attempts that are due.
     pub(super) fn hedge_due(&mut self, now: Timestamp, out: &mut Vec<Effect>) {
         while let Some(&(at, id)) = self.hedges.first()
             && at <= now
         {
             self.hedges.pop_first();
-            let Some(live) = self.requests.get_mut(&id) else {
+            let Some(pending) = self.requests.get_mut(&id) else {
                 continue;
             };
-            live.hedge_at = None;
-            if live.gone || live.attempts.len() != 1 {
+            pending.hedge_at = None;
+            if pending.cancelled || pending.attempts.len() != 1 {
                 continue;
             }
             self.hedge(now, id, out);
@@ -200,26 +205,26 @@
     }
 
     fn hedge(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Effect>) {
-        let Some(live) = self.requests.get(&id) else {
+        let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        let service = live.request.service.clone();
-        let tried = live.tried.clone();
-        // A hedge takes only a slot that nobody waits for.
+        let service = pending.request.service.clone();
+        let tried = pending.tried.clone();
+        // A hedged attempt must not take a slot that a queued request needs.
         let waiting = self
             .services
             .get(&service)
             .is_some_and(|s| !s.queue.is_empty());
-        let Some(place) = self.place(now, id).filter(|_| !waiting) else {
+        let Some(destination) = self.pick_destination(now, id).filter(|_| !waiting) else {
             return;
         };
-        let name = match &place {
-            Place::Minion { id, .. } => id,
-            Place::Peer(peer) => peer,
+        let name = match &destination {
+            Destination::Minion { id, .. } => id,
+            Destination::Peer(peer) => peer,
         };
         let state = self.services.entry(service).or_default();
         if !tried.contains(name) && state.budget.spend(now) {
-            self.start(now, id, place, out);
+            self.start(now, id, destination, out);
         }
     }
 
@@ -229,10 +234,10 @@
             && deadline <= now
         {
             self.deadlines.pop_first();
-            let Some(live) = self.requests.get(&id) else {
+            let Some(pending) = self.requests.get(&id) else {
                 continue;
             };
-            if live.attempts.is_empty() && !live.may_have_run {
+            if pending.attempts.is_empty() && !pending.may_have_run {
                 self.fail_late(now, id, out);
             } else {
                 let reason = CompactString::const_new("no whole answer came before the deadline");
@@ -241,21 +246,21 @@
         }
     }
 
-    /// The one who sent the request no longer waits: what has not started never does.
+    /// Cancels a request whose caller or peer no longer waits: no further attempt is started.
     pub(super) fn cancel(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Effect>) {
-        let Some(live) = self.requests.get_mut(&id) else {
+        let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
-        live.gone = true;
-        if live.attempts.is_empty() {
+        pending.cancelled = true;
+        if pending.attempts.is_empty() {
             let reason = CompactString::const_new("the caller went away before the start");
             return self.fail_not_run(now, id, reason, Duration::ZERO, out);
         }
-        // What runs at a minion runs on: its answer frees the slot with certainty. A peer is
-        // told, so that a request waiting there is not started.
-        for attempt in &live.attempts {
-            if let Some(Try {
-                place: Place::Peer(_),
+        // An attempt at a minion continues, because its response proves that the slot is free. At
+        // a peer it is withdrawn, so that a request queued there is not started.
+        for attempt in &pending.attempts {
+            if let Some(Attempt {
+                destination: Destination::Peer(_),
                 ..
             }) = self.attempts.get(attempt)
             {
@@ -271,7 +276,7 @@
         attempt: AttemptId,
         out: &mut Vec<Effect>,
     ) {
-        if self.close(now, id, out).is_some() {
+        if self.remove_request(now, id, out).is_some() {
             out.push(Effect::Deliver {
                 request: id,
                 attempt,
@@ -290,7 +295,7 @@
         let late = self
             .requests
             .get(&id)
-            .is_some_and(|live| live.request.deadline <= now);
+            .is_some_and(|pending| pending.request.deadline <= now);
         self.fail(now, id, reason, wait, late, out);
     }
 
@@ -299,8 +304,8 @@
         self.fail_not_run(now, id, reason, Duration::ZERO, out);
     }
 
-    /// Fails a request after its last try did not run. If an earlier one may have, the outcome
-    /// is unknown; if an earlier one failed with a whole answer, that answer is given.
+    /// Fails a request whose last attempt did not run. If an earlier attempt may have run, the
+    /// outcome is unknown; if one ended with a complete error response, that is delivered.
     fn fail(
         &mut self,
         now: Timestamp,
@@ -310,17 +315,17 @@
         late: bool,
         out: &mut Vec<Effect>,
     ) {
-        let Some(live) = self.requests.get(&id) else {
+        let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        if let Some(fallback) = live.fallback {
+        if let Some(fallback) = pending.fallback {
             return self.deliver(now, id, fallback, out);
         }
-        if live.may_have_run {
+        if pending.may_have_run {
             return self.fail_unknown(now, id, reason, late, out);
         }
-        let retry_after = self.spread(wait);
-        if self.close(now, id, out).is_some() {
+        let retry_after = self.jittered_retry_after(wait);
+        if self.remove_request(now, id, out).is_some() {
             let error = RouteError::NotRun {
                 reason,
                 retry_after,
@@ -339,21 +344,26 @@
         late: bool,
         out: &mut Vec<Effect>,
     ) {
-        if let Some(fallback) = self.requests.get(&id).and_then(|live| live.fallback) {
+        if let Some(fallback) = self.requests.get(&id).and_then(|pending| pending.fallback) {
             return self.deliver(now, id, fallback, out);
         }
-        if self.close(now, id, out).is_some() {
+        if self.remove_request(now, id, out).is_some() {
             let error = RouteError::Unknown { reason, late };
             out.push(Effect::Fail { request: id, error });
         }
     }
 
-    /// Forgets a request and stops its tries; what they hold stays held.
-    fn close(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Effect>) -> Option<Live> {
-        let live = self.requests.remove(&id)?;
-        let request = &live.request;
+    /// Removes a request and aborts its attempts; the slots of those at minions stay held.
+    fn remove_request(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        out: &mut Vec<Effect>,
+    ) -> Option<PendingRequest> {
+        let pending = self.requests.remove(&id)?;
+        let request = &pending.request;
         self.deadlines.remove(&(request.deadline, id));
-        if let Some(at) = live.hedge_at {
+        if let Some(at) = pending.hedge_at {
             self.hedges.remove(&(at, id));
         }
         if let Some(state) = self.services.get_mut(&request.service) {
@@ -362,17 +372,17 @@
         if request.origin == Origin::Caller {
             self.limits.finish(&request.team);
         }
-        for attempt in &live.attempts {
+        for attempt in &pending.attempts {
             self.abort(now, *attempt, out);
         }
-        Some(live)
+        Some(pending)
     }
 
     fn abort(&mut self, now: Timestamp, attempt: AttemptId, out: &mut Vec<Effect>) {
         let Some(aborted) = self.attempts.remove(&attempt) else {
             return;
         };
-        if let Place::Minion { id, process } = &aborted.place
+        if let Destination::Minion { id, process } = &aborted.destination
             && let Some(minion) = self.minions.get_mut(id)
             && minion.owned.minion.process == *process
         {
@@ -381,7 +391,7 @@
         out.push(Effect::Abort(attempt));
     }
 
-    /// Ejects a minion that keeps failing, unless too many are ejected already.
+    /// Counts a failure and ejects the minion if it fails too often, unless too many are ejected.
     fn count_failure(&mut self, now: Timestamp, id: &MinionId, service: &ServiceName) {
         let eject = self
             .minions
