--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -1,6 +1,7 @@
-//! Cost of the router's decisions, and its waiting against the shared queue and the baselines.
+//! Waiting times of requests with the router, one shared queue and baseline policies, and the CPU
+//! time of one routing decision.
 //!
-//! `cargo bench --bench routing` prints a table of waiting times over the same arrivals, then
+//! `cargo bench --bench routing` prints a table of waiting times for the same arrival rates, then
 //! the time of one decision.
 
 #[allow(
@@ -17,7 +18,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use routing_model::{Caller, World};
+use routing_model::{Caller, Simulation};
 use yuccahold::document::{Document, QueuePriority, Service};
 use yuccahold::routing::{
     AttemptEnd, Candidate, Choose, Effect, Event, LeastBusy, Origin, RandomChoice, Request, Router,
@@ -26,11 +27,11 @@
 use yuccahold::wire::{Feed, MinionAnnouncement, OwnedMinion};
 
 /// Mean service time of the simulated minions in seconds.
-const SERVICE: f64 = 0.010;
-/// Way between two hosts in seconds, as in the model. A slot is taken for the way there and back.
-const HOP: f64 = 0.0005;
-/// Span of the simulated load.
-const SPAN: Duration = Duration::from_secs(20);
+const SERVICE_TIME_S: f64 = 0.010;
+/// One-way network delay in seconds, as in the simulation. A slot is used for both ways.
+const NETWORK_DELAY_S: f64 = 0.0005;
+/// Duration of the simulated load.
+const LOAD_DURATION: Duration = Duration::from_secs(20);
 
 fn document(slots: u32) -> Document {
     let service = Service {
@@ -46,12 +47,18 @@
     document
 }
 
-/// Waits of a first-come queue for each minion, with the choice made at arrival; one queue of
-/// all slots gives the bound.
-fn queued(seed: u64, minions: usize, slots: u32, load: f64, choose: &impl Choose) -> Vec<f64> {
+/// Waiting times with a FIFO queue for each minion, selected on arrival. With one minion that has
+/// all slots, they are a lower bound.
+fn waits_per_minion_queues(
+    seed: u64,
+    minions: usize,
+    slots: u32,
+    load: f64,
+    choose: &impl Choose,
+) -> Vec<f64> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let rate = rate(minions, slots, load);
-    // For each minion the times at which its slots are free, earliest first, in nanoseconds.
+    let rate = arrival_rate(minions, slots, load);
+    // For each minion, the times in nanoseconds at which its slots become free, earliest first.
     let free = || {
         (0..slots)
             .map(|_| std::cmp::Reverse(0))
@@ -59,7 +66,7 @@
     };
     let mut minions: Vec<_> = (0..minions).map(|_| free()).collect();
     let (mut now, mut waits) = (0.0, Vec::new());
-    while now < SPAN.as_secs_f64() {
+    while now < LOAD_DURATION.as_secs_f64() {
         now += exponential(&mut rng, 1.0 / rate);
         let at = (now * 1e9) as u64;
         let candidates: Vec<_> = minions
@@ -71,18 +78,19 @@
         let start = slots
             .pop()
             .map_or(at, |s: std::cmp::Reverse<u64>| s.0.max(at));
-        let service = exponential(&mut rng, SERVICE);
-        let held = service + 2.0 * HOP;
+        let service = exponential(&mut rng, SERVICE_TIME_S);
+        let held = service + 2.0 * NETWORK_DELAY_S;
         slots.push(std::cmp::Reverse(start + (held * 1e9) as u64));
-        waits.push((start - at) as f64 / 1e9 + HOP);
+        waits.push((start - at) as f64 / 1e9 + NETWORK_DELAY_S);
     }
     waits
 }
 
-/// A minion's work as a chooser sees it: slots taken, and the queue by its length in time.
+/// A minion as a candidate. Its remaining work, queue included, counts in hundredths of the mean
+/// service time.
 fn candidate(index: usize, slots: &BinaryHeap<std::cmp::Reverse<u64>>, at: u64) -> Candidate {
     let work: u64 = slots.iter().map(|s| s.0.saturating_sub(at)).sum();
-    let in_use = (work as f64 / 1e9 / SERVICE * 100.0) as u32;
+    let in_use = (work as f64 / 1e9 / SERVICE_TIME_S * 100.0) as u32;
     Candidate {
         index,
         in_use,
@@ -91,19 +99,19 @@
     }
 }
 
-/// Arrivals a second at a share of what the slots can do, the ways there and back included.
-fn rate(minions: usize, slots: u32, load: f64) -> f64 {
-    load * minions as f64 * f64::from(slots) / (SERVICE + 2.0 * HOP)
+/// Arrivals per second at a share of the capacity of the slots, network delay included.
+fn arrival_rate(minions: usize, slots: u32, load: f64) -> f64 {
+    load * minions as f64 * f64::from(slots) / (SERVICE_TIME_S + 2.0 * NETWORK_DELAY_S)
 }
 
 fn exponential(rng: &mut ChaCha8Rng, mean: f64) -> f64 {
     -rng.random::<f64>().max(1e-12).ln() * mean
 }
 
-/// Waits in the model of seven entry hosts, with half a millisecond between hosts.
-fn routed(seed: u64, minions: usize, slots: u32, load: f64) -> Vec<f64> {
-    let mut world = World::new(seed, document(slots), 7, minions, slots);
-    world.run(Duration::from_secs(2));
+/// Waiting times in the simulation of seven entry hosts with this router.
+fn waits_with_router(seed: u64, minions: usize, slots: u32, load: f64) -> Vec<f64> {
+    let mut sim = Simulation::new(seed, document(slots), 7, minions, slots);
+    sim.run(Duration::from_secs(2));
     let caller = Caller {
         key: 0,
         entry: 0,
@@ -111,36 +119,39 @@
         idempotent: true,
         deadline: Duration::from_secs(10),
     };
-    let rate = rate(minions, slots, load);
-    world.load(1, rate, SPAN, &caller);
-    world.run(SPAN + Duration::from_secs(12));
-    world.check(slots);
-    world.waits.iter().map(Duration::as_secs_f64).collect()
+    let rate = arrival_rate(minions, slots, load);
+    sim.load(1, rate, LOAD_DURATION, &caller);
+    sim.run(LOAD_DURATION + Duration::from_secs(12));
+    sim.check_invariants(slots);
+    sim.waits.iter().map(Duration::as_secs_f64).collect()
 }
 
-fn row(name: &str, mut waits: Vec<f64>) {
+fn print_row(name: &str, mut waits: Vec<f64>) {
     waits.sort_by(f64::total_cmp);
     let mean = waits.iter().sum::<f64>() / waits.len() as f64;
     let p99 = waits[waits.len() * 99 / 100];
     println!("{name:34} {:10.3} {:10.3}", mean * 1e3, p99 * 1e3);
 }
 
-/// Prints waits in milliseconds from arrival to start.
-fn waiting(_: &mut Criterion) {
+/// Prints mean and p99 of the time from arrival to start.
+fn compare_waits(_: &mut Criterion) {
     for (minions, slots, load) in [(50, 8, 0.8), (14, 8, 0.8), (14, 8, 0.95), (7, 1, 0.8)] {
         println!("\n{minions} minions of {slots} slots at {load}: wait in ms, mean and p99");
-        row(
+        print_row(
             "one shared queue (bound)",
-            queued(1, 1, slots * minions as u32, load, &LeastBusy),
+            waits_per_minion_queues(1, 1, slots * minions as u32, load, &LeastBusy),
         );
-        row(
+        print_row(
             "this router, seven entry hosts",
-            routed(1, minions, slots, load),
+            waits_with_router(1, minions, slots, load),
         );
-        row("two-choice", queued(1, minions, slots, load, &TwoChoice));
-        row(
+        print_row(
+            "two-choice",
+            waits_per_minion_queues(1, minions, slots, load, &TwoChoice),
+        );
+        print_row(
             "random choice",
-            queued(1, minions, slots, load, &RandomChoice),
+            waits_per_minion_queues(1, minions, slots, load, &RandomChoice),
         );
     }
 }
@@ -187,8 +198,8 @@
     router
 }
 
-/// One request from arrival to its delivered answer, at an entry host that owns this many.
-fn decisions(c: &mut Criterion) {
+/// Measures one request from arrival to delivery, by the number of minions the entry host owns.
+fn route_request(c: &mut Criterion) {
     let mut group = c.benchmark_group("request");
     for minions in [8, 1_000] {
         let mut router = router(minions);
@@ -223,5 +234,5 @@
     group.finish();
 }
 
-criterion_group!(benches, waiting, decisions);
+criterion_group!(benches, compare_waits, route_request);
 criterion_main!(benches);
--- a/benches/routing_model/mod.rs
+++ b/benches/routing_model/mod.rs
@@ -1,7 +1,7 @@
-//! Entry hosts' routers, minions and control's leases on one simulated clock.
+//! Discrete-event simulation of routers, minions and control-plane leases.
 //!
-//! Fakes at the interface of the router only: an event goes in at a time, effects come out and
-//! become later events. The same seed gives the same order.
+//! Only the environment of the routers is simulated: their effects are turned into later events.
+//! The same seed gives the same order of events.
 
 mod steps;
 
@@ -20,33 +20,38 @@
 
 pub const MS: Duration = Duration::from_millis(1);
 const LEASE: Duration = Duration::from_secs(1);
-const HOP: Duration = Duration::from_micros(500);
-const TICK: Duration = Duration::from_millis(5);
-const LOAD_GAP: Duration = Duration::from_millis(2);
+const NETWORK_DELAY: Duration = Duration::from_micros(500);
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
+const MIN_LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What became of one caller's request.
+/// Final outcome of one caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Outcome {
     Done,
     NotRun,
     Unknown,
-    /// Its entry host died before a verdict.
+    /// The entry host died before the request had an outcome.
     HostDied,
 }
 
 /// One caller's request.
 #[derive(Clone, Debug)]
 pub struct Caller {
+    /// Identifies the request in the results.
     pub key: u32,
+    /// Index of the entry host that gets the request.
     pub entry: usize,
     pub service: &'static str,
     pub idempotent: bool,
     pub deadline: Duration,
 }
 
-enum Happens {
+/// A scheduled event. `process` is the process that it is meant for: it is dropped if the entry
+/// host or minion has restarted since.
+enum SimEvent {
     Call(Caller),
-    To(usize, u32, Box<Event>),
+    /// A router event for an entry host and process.
+    Deliver(usize, u32, Box<Event>),
     Forwarded {
         to: usize,
         from: usize,
@@ -63,12 +68,12 @@
     Begin {
         minion: usize,
         process: u32,
-        sent: Box<Sent>,
+        sent: Box<SentAttempt>,
     },
     End {
         minion: usize,
         process: u32,
-        sent: Box<Sent>,
+        sent: Box<SentAttempt>,
     },
     ProbeAt {
         minion: usize,
@@ -92,11 +97,11 @@
         from: usize,
     },
     Control,
-    Do(Box<dyn FnOnce(&mut World)>),
+    Action(Box<dyn FnOnce(&mut Simulation)>),
 }
 
 #[derive(Clone)]
-struct Sent {
+struct SentAttempt {
     entry: usize,
     process: u32,
     attempt: AttemptId,
@@ -107,16 +112,17 @@
     router: Router,
     process: u32,
     alive: bool,
-    /// Until then nothing is taken in; it all waits.
+    /// Events for the entry host are postponed until then.
     paused_until: Timestamp,
-    /// Request numbers of the router, with who asked.
-    asked: HashMap<RequestId, Asked>,
+    /// Requests without an outcome, with the caller or peer that sent them.
+    requesters: HashMap<RequestId, Requester>,
+    /// Attempts in flight.
     live: HashMap<AttemptId, (RequestId, Target)>,
     load_sent: Timestamp,
 }
 
 #[derive(Clone)]
-enum Asked {
+enum Requester {
     Caller {
         key: u32,
     },
@@ -131,31 +137,39 @@
 pub struct Minion {
     pub alive: bool,
     pub process: u32,
-    pub in_work: u32,
-    pub begun: u32,
-    pub highest: u32,
+    pub running: u32,
+    pub started: u32,
+    /// Highest number of requests running at once.
+    pub max_running: u32,
+    /// Mean of the exponentially distributed service time.
     pub service_time: Duration,
+    /// Whether every response is an error.
     pub fails: bool,
-    pub reports: bool,
-    /// Answers are lost on the way back, in percent.
-    pub loses: u32,
+    /// Whether probes are answered with the number of running requests.
+    pub reports_slots: bool,
+    /// Percentage of responses lost on the way back.
+    pub lost_percent: u32,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Timestamp,
     pub rng: ChaCha8Rng,
     pub minions: Vec<Minion>,
+    /// Executions by request key.
     pub ran: BTreeMap<u32, u32>,
-    pub verdicts: BTreeMap<u32, Verdict>,
+    pub outcomes: BTreeMap<u32, Outcome>,
     pub idempotent: HashMap<u32, bool>,
+    /// Time from arrival to the first start of each request.
     pub waits: Vec<Duration>,
     arrived: HashMap<u32, Timestamp>,
-    pub twice: Vec<u32>,
+    /// Keys of requests that got more than one outcome.
+    pub duplicate_outcomes: Vec<u32>,
     entries: Vec<Entry>,
     feed: Feed,
+    /// Last lease renewal of each entry host, as received by the control plane.
     renewed: Vec<Timestamp>,
     events: BinaryHeap<std::cmp::Reverse<(Timestamp, u64)>>,
-    happens: HashMap<u64, Happens>,
+    scheduled: HashMap<u64, SimEvent>,
     sequence: u64,
     next_request: RequestId,
 }
@@ -168,18 +182,18 @@
     id.rsplit('-').next().unwrap().parse().unwrap()
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, document: Document, entries: usize, minions: usize, slots: u32) -> Self {
-        let mut world = Self {
+        let mut sim = Self {
             now: Duration::from_secs(1),
             rng: ChaCha8Rng::seed_from_u64(seed),
             minions: Vec::new(),
             ran: BTreeMap::new(),
-            verdicts: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
             idempotent: HashMap::new(),
             waits: Vec::new(),
             arrived: HashMap::new(),
-            twice: Vec::new(),
+            duplicate_outcomes: Vec::new(),
             entries: Vec::new(),
             feed: Feed {
                 revision: 1,
@@ -188,34 +202,31 @@
             },
             renewed: vec![Duration::ZERO; entries],
             events: BinaryHeap::new(),
-            happens: HashMap::new(),
+            scheduled: HashMap::new(),
             sequence: 0,
             next_request: 1,
         };
         for n in 0..minions {
-            world.minions.push(Minion {
+            sim.minions.push(Minion {
                 alive: true,
                 process: 1,
-                in_work: 0,
-                begun: 0,
-                highest: 0,
+                running: 0,
+                started: 0,
+                max_running: 0,
                 service_time: 10 * MS,
                 fails: false,
-                reports: true,
-                loses: 0,
+                reports_slots: true,
+                lost_percent: 0,
             });
             let id: MinionId = format!("minion-{n}").into();
-            world
-                .feed
-                .minions
-                .insert(id.clone(), announced(id, n, slots));
+            sim.feed.minions.insert(id.clone(), announced(id, n, slots));
         }
         for n in 0..entries {
-            world.entries.push(world.new_entry(n, 1));
-            world.start_entry(n);
+            sim.entries.push(sim.new_entry(n, 1));
+            sim.start_entry(n);
         }
-        world.at(Duration::ZERO, Happens::Control);
-        world
+        sim.at(Duration::ZERO, SimEvent::Control);
+        sim
     }
 
     fn new_entry(&self, n: usize, process: u32) -> Entry {
@@ -230,7 +241,7 @@
             process,
             alive: true,
             paused_until: Duration::ZERO,
-            asked: HashMap::new(),
+            requesters: HashMap::new(),
             live: HashMap::new(),
             load_sent: Duration::ZERO,
         }
@@ -238,10 +249,10 @@
 
     fn start_entry(&mut self, n: usize) {
         let process = self.entries[n].process;
-        self.at(Duration::ZERO, Happens::Tick(n, process));
+        self.at(Duration::ZERO, SimEvent::Tick(n, process));
         self.at(
             Duration::ZERO,
-            Happens::Renewed {
+            SimEvent::Renewed {
                 entry: n,
                 process,
                 sent: self.now,
@@ -249,24 +260,25 @@
         );
     }
 
-    fn at(&mut self, after: Duration, happens: Happens) {
+    fn at(&mut self, after: Duration, sim_event: SimEvent) {
         self.sequence += 1;
         self.events
             .push(std::cmp::Reverse((self.now + after, self.sequence)));
-        self.happens.insert(self.sequence, happens);
+        self.scheduled.insert(self.sequence, sim_event);
     }
 
-    /// Something a scenario does later.
-    pub fn later(&mut self, after: Duration, does: impl FnOnce(&mut Self) + 'static) {
-        self.at(after, Happens::Do(Box::new(does)));
+    /// Runs an action of the test, such as a failure, after the given time.
+    pub fn schedule(&mut self, after: Duration, action: impl FnOnce(&mut Self) + 'static) {
+        self.at(after, SimEvent::Action(Box::new(action)));
     }
 
     pub fn call(&mut self, after: Duration, caller: Caller) {
         self.idempotent.insert(caller.key, caller.idempotent);
-        self.at(after, Happens::Call(caller));
+        self.at(after, SimEvent::Call(caller));
     }
 
-    /// Poisson arrivals at random entry hosts, keys counted up from `first`.
+    /// Schedules Poisson arrivals at random entry hosts, with keys counted up from `first`. Returns
+    /// the next key.
     pub fn load(&mut self, first: u32, per_second: f64, span: Duration, like: &Caller) -> u32 {
         let (mut at, mut key) = (Duration::ZERO, first);
         loop {
@@ -292,12 +304,12 @@
 
     pub fn kill_entry(&mut self, n: usize) {
         self.entries[n].alive = false;
-        for asked in self.entries[n].asked.values() {
-            if let Asked::Caller { key } = asked {
-                self.verdicts.entry(*key).or_insert(Verdict::HostDied);
+        for requester in self.entries[n].requesters.values() {
+            if let Requester::Caller { key } = requester {
+                self.outcomes.entry(*key).or_insert(Outcome::HostDied);
             }
         }
-        // Peers see the connection end: what they sent there may have run.
+        // Peers see the connection end; the requests they forwarded there may have run.
         let name = entry_id(n);
         for from in 0..self.entries.len() {
             let entry = &self.entries[from];
@@ -308,9 +320,9 @@
             let attempts: Vec<_> = to_it.map(|(attempt, _)| *attempt).collect();
             for attempt in attempts {
                 let end = AttemptEnd::Broken { silent: false };
-                self.tell(from, HOP, Event::Ended { attempt, end });
+                self.send_event(from, NETWORK_DELAY, Event::Ended { attempt, end });
             }
-            self.tell(from, HOP, Event::PeerLost(name.clone()));
+            self.send_event(from, NETWORK_DELAY, Event::PeerLost(name.clone()));
         }
     }
 
@@ -326,7 +338,7 @@
 
     pub fn kill_minion(&mut self, n: usize) {
         let minion = &mut self.minions[n];
-        (minion.alive, minion.in_work) = (false, 0);
+        (minion.alive, minion.running) = (false, 0);
         minion.process += 1;
     }
 
@@ -338,12 +350,12 @@
             .map(|owner| index(owner))
     }
 
-    fn tell(&mut self, entry: usize, after: Duration, event: Event) {
+    fn send_event(&mut self, entry: usize, after: Duration, event: Event) {
         let process = self.entries[entry].process;
-        self.at(after, Happens::To(entry, process, Box::new(event)));
+        self.at(after, SimEvent::Deliver(entry, process, Box::new(event)));
     }
 
-    /// Runs until the time is over.
+    /// Runs the simulation for this time.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(std::cmp::Reverse((at, sequence))) = self.events.pop() {
@@ -352,13 +364,13 @@
                 break;
             }
             self.now = self.now.max(at);
-            let happens = self.happens.remove(&sequence).unwrap();
-            self.step(happens);
+            let sim_event = self.scheduled.remove(&sequence).unwrap();
+            self.step(sim_event);
         }
         self.now = end;
     }
 
-    /// Takes in a feed that control did not send, as an entry host does that was cut off.
+    /// Delivers a stale feed to an entry host that names it as the owner of a minion.
     pub fn force_owner(&mut self, minion: usize, entry: usize) {
         let id: MinionId = format!("minion-{minion}").into();
         let mut feed = self.feed.clone();
@@ -367,48 +379,54 @@
         self.handle(entry, Event::Feed(Arc::new(feed)));
     }
 
-    /// Stops an entry host's renewals from reaching control.
-    pub fn cut_from_control(&mut self, n: usize) {
-        let lost = |h: &Happens| matches!(h, Happens::Renewed { entry, .. } if *entry == n);
+    /// Drops all further lease renewals of an entry host.
+    pub fn disconnect_from_control(&mut self, n: usize) {
+        let lost = |h: &SimEvent| matches!(h, SimEvent::Renewed { entry, .. } if *entry == n);
         let ids: Vec<_> = self
-            .happens
+            .scheduled
             .iter()
             .filter(|(_, h)| lost(h))
             .map(|(id, _)| *id)
             .collect();
         for id in ids {
-            self.happens.insert(id, Happens::Do(Box::new(|_| {})));
+            self.scheduled
+                .insert(id, SimEvent::Action(Box::new(|_| {})));
         }
     }
 
-    /// Ends every test: nothing overfilled, nothing run twice that must not, no false verdict.
-    pub fn check(&self, slots: u32) {
+    /// Checks that no minion exceeded its slots, that no non-idempotent request ran twice, and that
+    /// every request has one outcome, which agrees with its executions.
+    pub fn check_invariants(&self, slots: u32) {
         for (n, minion) in self.minions.iter().enumerate() {
             assert!(
-                minion.highest <= slots,
+                minion.max_running <= slots,
                 "minion {n} had {} in work",
-                minion.highest
+                minion.max_running
             );
         }
-        assert!(self.twice.is_empty(), "two verdicts: {:?}", self.twice);
+        assert!(
+            self.duplicate_outcomes.is_empty(),
+            "two outcomes: {:?}",
+            self.duplicate_outcomes
+        );
         for (key, idempotent) in &self.idempotent {
             let ran = self.ran.get(key).copied().unwrap_or(0);
             assert!(*idempotent || ran <= 1, "{key} ran {ran} times");
-            match self.verdicts.get(key) {
-                Some(Verdict::NotRun) => assert_eq!(ran, 0, "{key} was said not to have run"),
-                Some(Verdict::Done) => assert!(ran > 0, "{key} never ran"),
+            match self.outcomes.get(key) {
+                Some(Outcome::NotRun) => assert_eq!(ran, 0, "{key} was said not to have run"),
+                Some(Outcome::Done) => assert!(ran > 0, "{key} never ran"),
                 Some(_) => {}
-                None => panic!("{key} has no verdict"),
+                None => panic!("{key} has no outcome"),
             }
         }
     }
 
-    pub fn count(&self, is: impl Fn(&Verdict) -> bool) -> usize {
-        self.verdicts.values().filter(|v| is(v)).count()
+    pub fn count(&self, is: impl Fn(&Outcome) -> bool) -> usize {
+        self.outcomes.values().filter(|v| is(v)).count()
     }
 
     pub fn done(&self) -> usize {
-        self.count(|v| matches!(v, Verdict::Done))
+        self.count(|v| matches!(v, Outcome::Done))
     }
 }
 
--- a/benches/routing_model/steps.rs
+++ b/benches/routing_model/steps.rs
@@ -1,4 +1,4 @@
-//! What happens step by step in the model.
+//! Event handlers of the simulation.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,27 +12,27 @@
 };
 
 use super::{
-    Asked, Caller, HOP, Happens, LEASE, LOAD_GAP, MS, Sent, TICK, Verdict, World, entry_id, index,
-    peer,
+    Caller, LEASE, MIN_LOAD_REPORT_INTERVAL, MS, NETWORK_DELAY, Outcome, Requester, SentAttempt,
+    SimEvent, Simulation, TICK_INTERVAL, entry_id, index, peer,
 };
 
-impl World {
-    pub(super) fn step(&mut self, happens: Happens) {
-        // What reaches a paused host waits in its sockets and timers until it wakes.
-        if let Some((n, process)) = receiver(&happens) {
+impl Simulation {
+    pub(super) fn step(&mut self, sim_event: SimEvent) {
+        // Events for a paused host wait in its sockets and timers until it resumes.
+        if let Some((n, process)) = receiver(&sim_event) {
             let entry = &self.entries[n];
             if !entry.alive || entry.process != process {
                 return;
             }
             if entry.paused_until > self.now {
                 let after = entry.paused_until - self.now;
-                return self.at(after, happens);
+                return self.at(after, sim_event);
             }
         }
-        match happens {
-            Happens::Call(caller) => self.arrive(&caller),
-            Happens::To(n, _, event) => self.handle(n, *event),
-            Happens::Forwarded {
+        match sim_event {
+            SimEvent::Call(caller) => self.arrive(&caller),
+            SimEvent::Deliver(n, _, event) => self.handle(n, *event),
+            SimEvent::Forwarded {
                 to,
                 from,
                 process,
@@ -41,32 +41,35 @@
             } => {
                 self.forwarded(to, from, process, attempt, *request);
             }
-            Happens::Withdrawn {
+            SimEvent::Withdrawn {
                 to,
                 from,
                 process,
                 attempt,
             } => {
-                let is_it = |asked: &Asked| {
-                    matches!(asked, Asked::Peer { entry, process: p, attempt: a }
+                let matches_attempt = |requester: &Requester| {
+                    matches!(requester, Requester::Peer { entry, process: p, attempt: a }
                     if *entry == from && *p == process && *a == attempt)
                 };
-                let asked = self.entries[to].asked.iter().find(|(_, a)| is_it(a));
-                if let Some(id) = asked.map(|(id, _)| *id) {
+                let requester = self.entries[to]
+                    .requesters
+                    .iter()
+                    .find(|(_, a)| matches_attempt(a));
+                if let Some(id) = requester.map(|(id, _)| *id) {
                     self.handle(to, Event::Cancelled(id));
                 }
             }
-            Happens::Begin {
+            SimEvent::Begin {
                 minion,
                 process,
                 sent,
             } => self.begin(minion, process, *sent),
-            Happens::End {
+            SimEvent::End {
                 minion,
                 process,
                 sent,
             } => self.end(minion, process, &sent),
-            Happens::ProbeAt {
+            SimEvent::ProbeAt {
                 minion,
                 entry,
                 host,
@@ -74,10 +77,12 @@
                 sent,
             } => {
                 let m = &self.minions[minion];
-                let busy = SlotReport::InUse(m.in_work);
-                let report = m
-                    .alive
-                    .then_some(if m.reports { busy } else { SlotReport::Silent });
+                let busy = SlotReport::InUse(m.running);
+                let report = m.alive.then_some(if m.reports_slots {
+                    busy
+                } else {
+                    SlotReport::Silent
+                });
                 let minion = format!("minion-{minion}").into();
                 let event = Event::Probed {
                     minion,
@@ -85,45 +90,48 @@
                     sent,
                     report,
                 };
-                self.at(HOP, Happens::To(entry, host, Box::new(event)));
+                self.at(
+                    NETWORK_DELAY,
+                    SimEvent::Deliver(entry, host, Box::new(event)),
+                );
             }
-            Happens::Timeout { entry, attempt, .. } => {
+            SimEvent::Timeout { entry, attempt, .. } => {
                 let end = AttemptEnd::Broken { silent: true };
                 self.handle(entry, Event::Ended { attempt, end });
             }
-            Happens::Tick(n, process) => {
+            SimEvent::Tick(n, process) => {
                 self.handle(n, Event::Tick);
-                self.at(TICK, Happens::Tick(n, process));
+                self.at(TICK_INTERVAL, SimEvent::Tick(n, process));
             }
-            Happens::Renewed {
+            SimEvent::Renewed {
                 entry,
                 process,
                 sent,
             } => {
-                // Control counts from the receipt; the host from the sending, here the same
-                // moment or, after a pause, an earlier one.
+                // The control plane counts the lease from the receipt of the renewal, the host
+                // from its sending: here the same time or, after a pause, an earlier one.
                 self.renewed[entry] = self.now;
                 self.handle(entry, Event::Leased(sent + LEASE));
                 let next = self.now + LEASE / 3;
                 self.at(
                     LEASE / 3,
-                    Happens::Renewed {
+                    SimEvent::Renewed {
                         entry,
                         process,
                         sent: next,
                     },
                 );
             }
-            Happens::Load { from } => self.report_load(from),
-            Happens::Control => self.control(),
-            Happens::Do(does) => does(self),
+            SimEvent::Load { from } => self.report_load(from),
+            SimEvent::Control => self.control(),
+            SimEvent::Action(action) => action(self),
         }
     }
 
     fn arrive(&mut self, caller: &Caller) {
         let n = caller.entry;
         if !self.entries[n].alive {
-            self.verdicts.insert(caller.key, Verdict::HostDied);
+            self.outcomes.insert(caller.key, Outcome::HostDied);
             return;
         }
         self.arrived.insert(caller.key, self.now);
@@ -139,8 +147,8 @@
             idempotent: caller.idempotent,
             origin: Origin::Caller,
         };
-        let asked = Asked::Caller { key: caller.key };
-        self.entries[n].asked.insert(id, asked);
+        let requester = Requester::Caller { key: caller.key };
+        self.entries[n].requesters.insert(id, requester);
         self.handle(n, Event::Arrived(request));
     }
 
@@ -154,19 +162,19 @@
     ) {
         request.id = self.next_request;
         self.next_request += 1;
-        let asked = Asked::Peer {
+        let requester = Requester::Peer {
             entry: from,
             process,
             attempt,
         };
-        self.entries[to].asked.insert(request.id, asked);
+        self.entries[to].requesters.insert(request.id, requester);
         self.handle(to, Event::Arrived(request));
     }
 
     fn key_of(&self, entry: usize, request: RequestId) -> Option<u32> {
-        match self.entries[entry].asked.get(&request)? {
-            Asked::Caller { key } => Some(*key),
-            Asked::Peer { entry, attempt, .. } => {
+        match self.entries[entry].requesters.get(&request)? {
+            Requester::Caller { key } => Some(*key),
+            Requester::Peer { entry, attempt, .. } => {
                 let (request, _) = self.entries[*entry].live.get(attempt)?;
                 self.key_of(*entry, *request)
             }
@@ -199,8 +207,8 @@
                 if let Some((_, Target::Peer(peer))) = self.entries[n].live.remove(&attempt) {
                     let to = index(&peer);
                     self.at(
-                        HOP,
-                        Happens::Withdrawn {
+                        NETWORK_DELAY,
+                        SimEvent::Withdrawn {
                             to,
                             from: n,
                             process,
@@ -213,8 +221,8 @@
                 if let Some((_, Target::Peer(peer))) = self.entries[n].live.get(&attempt) {
                     let to = index(peer);
                     self.at(
-                        HOP,
-                        Happens::Withdrawn {
+                        NETWORK_DELAY,
+                        SimEvent::Withdrawn {
                             to,
                             from: n,
                             process,
@@ -223,19 +231,19 @@
                     );
                 }
             }
-            Effect::Deliver { request, attempt } => self.verdict(n, request, Ok(attempt)),
-            Effect::Fail { request, error } => self.verdict(n, request, Err(error)),
+            Effect::Deliver { request, attempt } => self.record_outcome(n, request, Ok(attempt)),
+            Effect::Fail { request, error } => self.record_outcome(n, request, Err(error)),
             Effect::Probe { minion, epoch, .. } => {
                 let minion = index(&minion);
                 let sent = self.now;
-                let probe = Happens::ProbeAt {
+                let probe = SimEvent::ProbeAt {
                     minion,
                     entry: n,
                     host: process,
                     epoch,
                     sent,
                 };
-                self.at(HOP, probe);
+                self.at(NETWORK_DELAY, probe);
             }
             Effect::Released(minion) => {
                 if let Some(owned) = self.feed.minions.get_mut(&minion) {
@@ -243,8 +251,8 @@
                 }
             }
             Effect::AnnounceLoad => {
-                let due = self.entries[n].load_sent + LOAD_GAP;
-                self.at(due.saturating_sub(self.now), Happens::Load { from: n });
+                let due = self.entries[n].load_sent + MIN_LOAD_REPORT_INTERVAL;
+                self.at(due.saturating_sub(self.now), SimEvent::Load { from: n });
             }
             Effect::Reconnect(_) => {}
         }
@@ -265,7 +273,7 @@
             .insert(attempt, (request, target.clone()));
         self.at(
             until.saturating_sub(self.now),
-            Happens::Timeout {
+            SimEvent::Timeout {
                 entry: n,
                 process,
                 attempt,
@@ -274,7 +282,7 @@
         match target {
             Target::Minion { id, .. } => {
                 let minion = index(&id);
-                let sent = Sent {
+                let sent = SentAttempt {
                     entry: n,
                     process,
                     attempt,
@@ -282,8 +290,8 @@
                 };
                 let to = self.minions[minion].process;
                 self.at(
-                    HOP,
-                    Happens::Begin {
+                    NETWORK_DELAY,
+                    SimEvent::Begin {
                         minion,
                         process: to,
                         sent: Box::new(sent),
@@ -297,7 +305,7 @@
                         retry_after: None,
                         unreachable: false,
                     };
-                    return self.tell(n, HOP, Event::Ended { attempt, end });
+                    return self.send_event(n, NETWORK_DELAY, Event::Ended { attempt, end });
                 }
                 let request = Request {
                     id: 0,
@@ -320,8 +328,8 @@
                 };
                 let request = Box::new(request);
                 self.at(
-                    HOP,
-                    Happens::Forwarded {
+                    NETWORK_DELAY,
+                    SimEvent::Forwarded {
                         to,
                         from: n,
                         process,
@@ -333,7 +341,7 @@
         }
     }
 
-    fn begin(&mut self, n: usize, process: u32, sent: Sent) {
+    fn begin(&mut self, n: usize, process: u32, sent: SentAttempt) {
         let minion = &mut self.minions[n];
         if !minion.alive || minion.process != process {
             let end = AttemptEnd::NotRun {
@@ -342,9 +350,9 @@
             };
             return self.answer(&sent, end);
         }
-        minion.in_work += 1;
-        minion.begun += 1;
-        minion.highest = minion.highest.max(minion.in_work);
+        minion.running += 1;
+        minion.started += 1;
+        minion.max_running = minion.max_running.max(minion.running);
         *self.ran.entry(sent.key).or_default() += 1;
         if let Some(at) = self.arrived.remove(&sent.key) {
             self.waits.push(self.now - at);
@@ -354,7 +362,7 @@
             .mul_f64(-self.rng.random::<f64>().max(1e-9).ln());
         self.at(
             time,
-            Happens::End {
+            SimEvent::End {
                 minion: n,
                 process,
                 sent: Box::new(sent),
@@ -362,13 +370,13 @@
         );
     }
 
-    fn end(&mut self, n: usize, process: u32, sent: &Sent) {
+    fn end(&mut self, n: usize, process: u32, sent: &SentAttempt) {
         let minion = &mut self.minions[n];
         if !minion.alive || minion.process != process {
             return self.answer(sent, AttemptEnd::Broken { silent: false });
         }
-        minion.in_work -= 1;
-        let end = if self.rng.random_range(0..100) < minion.loses {
+        minion.running -= 1;
+        let end = if self.rng.random_range(0..100) < minion.lost_percent {
             AttemptEnd::Broken { silent: false }
         } else {
             AttemptEnd::Answered {
@@ -378,35 +386,43 @@
         self.answer(sent, end);
     }
 
-    fn answer(&mut self, sent: &Sent, end: AttemptEnd) {
+    fn answer(&mut self, sent: &SentAttempt, end: AttemptEnd) {
         let event = Event::Ended {
             attempt: sent.attempt,
             end,
         };
-        self.at(HOP, Happens::To(sent.entry, sent.process, Box::new(event)));
+        self.at(
+            NETWORK_DELAY,
+            SimEvent::Deliver(sent.entry, sent.process, Box::new(event)),
+        );
     }
 
-    fn verdict(&mut self, n: usize, request: RequestId, verdict: Result<AttemptId, RouteError>) {
-        let Some(asked) = self.entries[n].asked.remove(&request) else {
+    fn record_outcome(
+        &mut self,
+        n: usize,
+        request: RequestId,
+        outcome: Result<AttemptId, RouteError>,
+    ) {
+        let Some(requester) = self.entries[n].requesters.remove(&request) else {
             return;
         };
-        match asked {
-            Asked::Caller { key } => {
-                let verdict = match verdict {
-                    Ok(_) => Verdict::Done,
-                    Err(RouteError::NotRun { .. }) => Verdict::NotRun,
-                    Err(RouteError::Unknown { .. }) => Verdict::Unknown,
+        match requester {
+            Requester::Caller { key } => {
+                let outcome = match outcome {
+                    Ok(_) => Outcome::Done,
+                    Err(RouteError::NotRun { .. }) => Outcome::NotRun,
+                    Err(RouteError::Unknown { .. }) => Outcome::Unknown,
                 };
-                if self.verdicts.insert(key, verdict).is_some() {
-                    self.twice.push(key);
+                if self.outcomes.insert(key, outcome).is_some() {
+                    self.duplicate_outcomes.push(key);
                 }
             }
-            Asked::Peer {
+            Requester::Peer {
                 entry,
                 process,
                 attempt,
             } => {
-                let end = match verdict {
+                let end = match outcome {
                     Ok(_) => AttemptEnd::Answered { failed: false },
                     Err(RouteError::NotRun { retry_after, .. }) => AttemptEnd::NotRun {
                         retry_after: Some(retry_after),
@@ -415,7 +431,10 @@
                     Err(RouteError::Unknown { .. }) => AttemptEnd::Broken { silent: false },
                 };
                 let event = Event::Ended { attempt, end };
-                self.at(HOP, Happens::To(entry, process, Box::new(event)));
+                self.at(
+                    NETWORK_DELAY,
+                    SimEvent::Deliver(entry, process, Box::new(event)),
+                );
             }
         }
     }
@@ -432,11 +451,12 @@
                 peer: entry_id(n),
                 services: services.clone(),
             };
-            self.tell(to, HOP, event);
+            self.send_event(to, NETWORK_DELAY, event);
         }
     }
 
-    /// Control's part: lapsed owners lose their minions, free minions get an owner, all are told.
+    /// Simulates the control plane: minions of owners with an expired lease become free, free ones
+    /// are assigned to the live entry host with the fewest, and a changed feed is sent to all.
     fn control(&mut self) {
         let alive =
             |n: &usize| self.renewed[*n] + LEASE > self.now && self.renewed[*n] > Duration::ZERO;
@@ -470,17 +490,17 @@
         if self.feed != before {
             let feed = Arc::new(self.feed.clone());
             for n in 0..self.entries.len() {
-                self.tell(n, HOP, Event::Feed(feed.clone()));
+                self.send_event(n, NETWORK_DELAY, Event::Feed(feed.clone()));
             }
         }
-        self.at(20 * MS, Happens::Control);
+        self.at(20 * MS, SimEvent::Control);
     }
 }
 
-fn receiver(happens: &Happens) -> Option<(usize, u32)> {
-    match happens {
-        Happens::To(n, process, _) | Happens::Tick(n, process) => Some((*n, *process)),
-        Happens::Timeout { entry, process, .. } | Happens::Renewed { entry, process, .. } => {
+fn receiver(sim_event: &SimEvent) -> Option<(usize, u32)> {
+    match sim_event {
+        SimEvent::Deliver(n, process, _) | SimEvent::Tick(n, process) => Some((*n, *process)),
+        SimEvent::Timeout { entry, process, .. } | SimEvent::Renewed { entry, process, .. } => {
             Some((*entry, *process))
         }
         _ => None,
