--- a/src/entry/access.rs
+++ b/src/entry/access.rs
@@ -1,4 +1,4 @@
-//! The access line and the metrics of each request.
+//! Access log and metrics of requests to services.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use crate::entry::reply::Outcome;
 use crate::ids::ServiceName;
 
-/// Access lines a second beyond which lines are left out and counted.
-const LINES_PER_SECOND: u64 = 100;
+/// Maximum access log lines per second; further ones are omitted and counted in `left_out`.
+const MAX_LINES_PER_SECOND: u64 = 100;
 
-/// What is told of one request.
+/// Properties of a completed request for the access log and metrics.
 pub(super) struct Access<'a> {
     pub(super) service: &'a ServiceName,
     pub(super) outcome: Outcome,
@@ -17,14 +17,14 @@
     pub(super) attempts: u32,
     pub(super) minion: &'a str,
     pub(super) zone: &'a str,
-    /// Time from arrival to the answer.
+    /// Time from arrival to the reply.
     pub(super) total: Duration,
-    /// Time the minion took, as its owner measured it.
+    /// Time of the attempt at the minion, measured by the minion's owner; zero without a response.
     pub(super) service_time: Duration,
     pub(super) traceparent: &'a str,
 }
 
-/// Writes access lines, not more than a bound each second.
+/// Access log with a rate limit.
 #[derive(Default)]
 pub(super) struct AccessLog {
     second: AtomicU64,
@@ -33,7 +33,7 @@
 }
 
 impl AccessLog {
-    /// Counts a request and writes its line unless there are too many.
+    /// Records the metrics of a request and logs it unless the rate limit is exceeded.
     pub(super) fn record(&self, log: &slog::Logger, now: Duration, access: &Access<'_>) {
         count(access);
         if !self.may_write(now) {
@@ -60,7 +60,7 @@
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
         }
-        self.lines.fetch_add(1, Ordering::Relaxed) < LINES_PER_SECOND
+        self.lines.fetch_add(1, Ordering::Relaxed) < MAX_LINES_PER_SECOND
     }
 }
 
--- a/src/entry/announce.rs
+++ b/src/entry/announce.rs
@@ -1,4 +1,4 @@
-//! Minions' announcements and workers' polls: checked and passed to control.
+//! Announcements of minions and polls of workers: validated and forwarded to the control plane.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,16 +13,16 @@
 use crate::ids::{ProcessId, ServiceName, ZoneName};
 use crate::wire::{Call, MinionAnnouncement, WorkerPoll};
 
-/// Longest time for an announcement.
+/// Timeout of a call to the control plane, besides a poll's wait.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest time a poll may be held back.
-const MAX_WAIT: Duration = Duration::from_secs(60);
-/// Time an announcement holds when it does not say.
+/// Maximum time for which a poll may wait for new tasks.
+const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
+/// Default lifetime of an announcement.
 const DEFAULT_TTL_MS: u64 = 10_000;
-/// Shortest and longest time an announcement may hold.
-const TTL_MS: std::ops::RangeInclusive<u64> = 500..=600_000;
-/// Longest name of a minion or worker in bytes.
-const MAX_NAME: usize = 128;
+/// Permitted lifetimes of an announcement.
+const ALLOWED_TTL_MS: std::ops::RangeInclusive<u64> = 500..=600_000;
+/// Maximum length of a minion's or worker's name.
+const MAX_NAME_BYTES: usize = 128;
 
 /// Body of `PUT /v1/minions/{id}`.
 #[derive(Debug, Deserialize)]
@@ -47,13 +47,13 @@
     body: MinionBody,
 ) -> Reply {
     let ttl_ms = body.ttl_ms.unwrap_or(DEFAULT_TTL_MS);
-    if !is_name(id) {
+    if !is_valid_name(id) {
         return invalid(
             StatusCode::BAD_REQUEST,
             "the minion's name is empty or too long",
         );
     }
-    if !TTL_MS.contains(&ttl_ms) {
+    if !ALLOWED_TTL_MS.contains(&ttl_ms) {
         return invalid(StatusCode::BAD_REQUEST, "ttl_ms is outside 500 to 600000");
     }
     let announcement = MinionAnnouncement {
@@ -71,7 +71,7 @@
 }
 
 /// `DELETE /v1/minions/{id}`.
-pub(super) async fn minion_leaves<L: ControlLink>(context: &Context<L>, id: &str) -> Reply {
+pub(super) async fn withdraw_minion<L: ControlLink>(context: &Context<L>, id: &str) -> Reply {
     let call = Call::LeaveMinion(id.into());
     reply(context.link.call(call, CALL_TIMEOUT).await, StatusCode::OK)
 }
@@ -82,18 +82,18 @@
     id: &str,
     mut poll: WorkerPoll,
 ) -> Reply {
-    if poll.worker.id != id || !is_name(id) {
+    if poll.worker.id != id || !is_valid_name(id) {
         return invalid(
             StatusCode::BAD_REQUEST,
             "the worker's name differs from the path's",
         );
     }
-    poll.wait = poll.wait.min(MAX_WAIT);
+    poll.wait = poll.wait.min(MAX_POLL_WAIT);
     let timeout = poll.wait + CALL_TIMEOUT;
     let call = Call::PollWorker(poll);
     reply(context.link.call(call, timeout).await, StatusCode::OK)
 }
 
-fn is_name(name: &str) -> bool {
-    !name.is_empty() && name.len() <= MAX_NAME
+fn is_valid_name(name: &str) -> bool {
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
--- a/src/entry/burn.rs
+++ b/src/entry/burn.rs
@@ -1,4 +1,4 @@
-//! Counts of requests against the objectives, handed on to control now and then.
+//! Counts requests against the service-level objectives and reports them to the control plane.
 
 use std::sync::Arc;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,32 +9,32 @@
 use crate::document::ObjectiveTarget;
 use crate::entry::access::Access;
 use crate::entry::link::ControlLink;
-use crate::entry::reply::Outcome as Answered;
+use crate::entry::reply::Outcome as RequestOutcome;
 use crate::ids::{Revision, TeamName};
 use crate::slo::{BurnDelta, Dimensions, Event, Outcome, Tally};
 use crate::wire::{Answer, Call, Feed};
 
-/// Time between two hand-overs to control.
-const HAND_OVER: Duration = Duration::from_secs(10);
+/// Interval between reports to the control plane.
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Time for one hand-over.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout of one report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Requests counted since the last hand-over.
+/// Requests counted since the last report.
 #[derive(Debug, Default)]
 pub(super) struct BurnTally {
     tally: Mutex<Tally>,
 }
 
 impl BurnTally {
-    /// Counts one request of a caller.
+    /// Counts one request from a caller.
     pub(super) fn record(&self, access: &Access<'_>, team: TeamName) {
         let event = Event {
             target: ObjectiveTarget::Service(access.service.clone()),
             outcome: match access.outcome {
-                Answered::Done => Outcome::Took(access.total),
-                Answered::NotRun => Outcome::Failed,
-                Answered::Unknown => Outcome::Unknown,
+                RequestOutcome::Done => Outcome::Took(access.total),
+                RequestOutcome::NotRun => Outcome::Failed,
+                RequestOutcome::Unknown => Outcome::Unknown,
             },
             dimensions: Dimensions {
                 zone: access.zone.into(),
@@ -46,7 +46,7 @@
         self.tally().record(event);
     }
 
-    fn follow(&self, feed: &Feed, revision: &mut Revision) {
+    fn update_objectives(&self, feed: &Feed, revision: &mut Revision) {
         let Some(document) = feed.document.as_ref() else {
             return;
         };
@@ -61,34 +61,32 @@
     }
 }
 
-/// Follows the document's objectives and hands the counts on until it is dropped.
+/// Applies the document's objectives and reports the counts, until the link ends or it is dropped.
 ///
-/// Counts that were refused are handed on again with the next ones; counts whose fate is not
-/// known are dropped, since counting them twice would raise a false alert.
-pub(super) async fn hand_over<L: ControlLink>(burn: Arc<BurnTally>, link: Arc<L>) {
+/// Counts that were refused or not sent are included in the next report. If it is unknown whether
+/// counts were recorded, they are dropped, because counting them twice could raise a false alert.
+pub(super) async fn report_burn<L: ControlLink>(burn: Arc<BurnTally>, link: Arc<L>) {
     let mut feed: watch::Receiver<Arc<Feed>> = link.feed();
     let mut revision = 0;
-    let mut kept = BurnDelta::default();
-    let mut due = tokio::time::interval(HAND_OVER);
+    let mut unsent = BurnDelta::default();
+    let mut due = tokio::time::interval(REPORT_INTERVAL);
     loop {
-        burn.follow(&feed.borrow_and_update().clone(), &mut revision);
+        burn.update_objectives(&feed.borrow_and_update().clone(), &mut revision);
         tokio::select! {
             changed = feed.changed() => if changed.is_err() { return },
             _ = due.tick() => {
-                kept.merge(burn.tally().take());
-                if !kept.is_empty() {
-                    kept = send(link.as_ref(), kept).await;
+                unsent.merge(burn.tally().take());
+                if !unsent.is_empty() {
+                    unsent = send(link.as_ref(), unsent).await;
                 }
             }
         }
     }
 }
 
-/// Sends counts and gives back what must be sent again.
+/// Sends counts; returns those to send again.
 async fn send<L: ControlLink>(link: &L, delta: BurnDelta) -> BurnDelta {
-    let answer = link
-        .call(Call::Burn(delta.clone()), HAND_OVER_TIMEOUT)
-        .await;
+    let answer = link.call(Call::Burn(delta.clone()), REPORT_TIMEOUT).await;
     match answer {
         Ok(Answer::NotLeader(_) | Answer::Refused(_)) | Err(_) => delta,
         Ok(_) => BurnDelta::default(),
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' quick requests: checked, claimed if they carry a key, routed, answered whole.
+//! Requests of callers to services: validated, claimed if they have an idempotency key, routed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,34 +14,36 @@
 use crate::entry::access::Access;
 use crate::entry::core::Core;
 use crate::entry::daemon::Context;
-use crate::entry::http::{BodyError, DRAIN, Incoming, body_refused, read_body, with_query};
-use crate::entry::keys::{OpenKey, state_after};
+use crate::entry::http::{
+    BodyError, Incoming, MAX_DISCARDED_BYTES, body_refused, read_body, with_query,
+};
+use crate::entry::keys::{KeyGuard, state_after};
 use crate::entry::link::ControlLink;
 use crate::entry::minion_client::for_minion;
 use crate::entry::reply::{
     DEADLINE, IDEMPOTENCY_KEY, IDEMPOTENT, MINION, Outcome, Reply, explained, invalid, refusal,
     route_error, set_outcome,
 };
-use crate::entry::work::{Ended, Verdict, WholeAnswer, Work};
+use crate::entry::work::{CompletedRequest, MinionResponse, RequestResult, ServiceRequest};
 use crate::ids::{IdempotencyKey, Timestamp};
 use crate::routing::{Event, Origin, RequestId, RouteError};
 use crate::wire::{Answer, KeyState, StoredAnswer};
 
-/// Longest idempotency key in bytes.
-const MAX_KEY: usize = 256;
-/// Longest time for claiming a key.
+/// Maximum length of an idempotency key.
+const MAX_KEY_BYTES: usize = 256;
+/// Timeout of claiming a key, if the deadline is not earlier.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
-/// When to come back after control could not be reached.
-const CONTROL_AWAY: Duration = Duration::from_secs(1);
+/// Retry-after time when the control plane is unreachable.
+const CONTROL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the headers ask for.
-struct Wanted {
+/// Options that the caller set in headers.
+struct RequestOptions {
     deadline: Option<Duration>,
     idempotent: Option<bool>,
     key: Option<IdempotencyKey>,
 }
 
-/// Answers one request to a service. `prefix` is the length of the path that led here.
+/// Handles one request to a service. `prefix` is the length of the path prefix that selected it.
 pub(super) async fn request<L, S, B, E>(
     context: &Arc<Context<L>>,
     service: &str,
@@ -57,24 +59,24 @@
     if !context.has_document() {
         let reason = "this entry host has no document yet";
         let status = StatusCode::SERVICE_UNAVAILABLE;
-        return explained(status, Outcome::NotRun, reason, Some(CONTROL_AWAY));
+        return explained(status, Outcome::NotRun, reason, Some(CONTROL_RETRY_AFTER));
     }
     let document = context.core.read(|router, _| router.document().clone());
     let Some((name, declared)) = document.services.get_key_value(service) else {
         let reason = format!("no service is named {service}");
         return invalid(StatusCode::NOT_FOUND, reason);
     };
-    let wanted = match Wanted::read(&incoming.headers) {
-        Ok(wanted) => wanted,
+    let options = match RequestOptions::read(&incoming.headers) {
+        Ok(options) => options,
         Err(reason) => return invalid(StatusCode::BAD_REQUEST, reason),
     };
-    if is_refused_unread(&incoming.headers, declared.body_limit) {
+    if is_refused_before_body(&incoming.headers, declared.body_limit) {
         return body_refused(&BodyError::TooLarge);
     }
-    let deadline = arrived + wanted.deadline_for(declared);
+    let deadline = arrived + options.deadline_for(declared);
     let reading = read_body(incoming.body, declared.body_limit as usize);
     let read = tokio::time::timeout(context.core.left(deadline), reading).await;
-    let body = match read.unwrap_or(Err(BodyError::Late)) {
+    let body = match read.unwrap_or(Err(BodyError::Timeout)) {
         Ok(body) => body,
         Err(e) => return body_refused(&e),
     };
@@ -84,11 +86,11 @@
     } else {
         format!("/{rest}")
     };
-    let work = Work {
+    let work = ServiceRequest {
         service: name.clone(),
         team: declared.team.clone(),
         priority: declared.priority,
-        idempotent: wanted.may_run_twice(declared),
+        idempotent: options.may_run_twice(declared),
         deadline,
         body_limit: declared.body_limit as usize,
         method: incoming.method,
@@ -96,10 +98,10 @@
         headers: for_minion(&incoming.headers),
         body,
     };
-    route(context, arrived, Arc::new(work), wanted.key).await
+    route(context, arrived, Arc::new(work), options.key).await
 }
 
-impl Wanted {
+impl RequestOptions {
     fn read(headers: &HeaderMap) -> Result<Self, String> {
         let deadline = match text(headers, DEADLINE)? {
             None => None,
@@ -112,9 +114,9 @@
             Some(_) => return Err(format!("{IDEMPOTENT} is neither true nor false")),
         };
         let key = text(headers, IDEMPOTENCY_KEY)?;
-        if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY) {
+        if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY_BYTES) {
             return Err(format!(
-                "{IDEMPOTENCY_KEY} is empty or over {MAX_KEY} bytes"
+                "{IDEMPOTENCY_KEY} is empty or over {MAX_KEY_BYTES} bytes"
             ));
         }
         Ok(Self {
@@ -124,13 +126,14 @@
         })
     }
 
-    /// Time for the answer: the caller's wish, at most twice the service's own.
+    /// Time to the deadline: the caller's value, at most twice the service's default.
     fn deadline_for(&self, service: &Service) -> Duration {
         let own = service.deadline;
-        self.deadline.map_or(own, |wish| wish.min(own * 2))
+        self.deadline
+            .map_or(own, |requested| requested.min(own * 2))
     }
 
-    /// A key asks for one run, so it counts as non-idempotent unless the caller says otherwise.
+    /// A request with a key must run only once, unless the caller declares it idempotent.
     fn may_run_twice(&self, service: &Service) -> bool {
         let by_service = service.idempotent && self.key.is_none();
         self.idempotent.unwrap_or(by_service)
@@ -142,18 +145,19 @@
     value.map_err(|_| format!("{name} holds bytes that are no text"))
 }
 
-/// Whether a body is refused before any of it is read: its caller asked first, or it is huge.
-fn is_refused_unread(headers: &HeaderMap, limit: u64) -> bool {
+/// Whether a body is refused before any of it is read: it is over the limit, and the caller either
+/// expects `100 Continue` or declared more than is read and discarded.
+fn is_refused_before_body(headers: &HeaderMap, limit: u64) -> bool {
     let stated = headers.get(CONTENT_LENGTH).and_then(|v| v.to_str().ok());
     let len: u64 = stated.and_then(|len| len.parse().ok()).unwrap_or(0);
     let asked = headers.contains_key(EXPECT);
-    len > limit && (asked || len > limit + DRAIN as u64)
+    len > limit && (asked || len > limit + MAX_DISCARDED_BYTES as u64)
 }
 
 async fn route<L: ControlLink>(
     context: &Arc<Context<L>>,
     arrived: Timestamp,
-    work: Arc<Work>,
+    work: Arc<ServiceRequest>,
     key: Option<IdempotencyKey>,
 ) -> Reply {
     let (reply, ended) = match key {
@@ -164,9 +168,9 @@
     let traceparent = traceparent
         .and_then(|v| v.to_str().ok())
         .unwrap_or_default();
-    let answer = ended.as_ref().and_then(|ended| match &ended.verdict {
-        Verdict::Answer(answer) => Some(answer),
-        Verdict::Failed(_) => None,
+    let answer = ended.as_ref().and_then(|ended| match &ended.result {
+        RequestResult::Response(answer) => Some(answer),
+        RequestResult::Failed(_) => None,
     });
     let access = Access {
         service: &work.service,
@@ -195,20 +199,23 @@
     }
 }
 
-type Routed = (Reply, Option<Ended>);
+type Routed = (Reply, Option<CompletedRequest>);
 
-async fn run_plain<L: ControlLink>(context: &Arc<Context<L>>, work: &Arc<Work>) -> Routed {
-    let (id, verdict) = context.core.submit(work.clone(), Origin::Caller);
+async fn run_plain<L: ControlLink>(
+    context: &Arc<Context<L>>,
+    work: &Arc<ServiceRequest>,
+) -> Routed {
+    let (id, result) = context.core.submit(work.clone(), Origin::Caller);
     let mut guard = CancelOnDrop {
         core: &context.core,
         id: Some(id),
     };
-    let ended = verdict.await.unwrap_or_else(|_| Ended::lost());
+    let ended = result.await.unwrap_or_else(|_| CompletedRequest::dropped());
     guard.id = None;
-    (reply_to(&ended.verdict), Some(ended))
+    (reply_to(&ended.result), Some(ended))
 }
 
-/// Takes the request back when the caller goes away and the server drops its future.
+/// Cancels the request when the caller disconnects and the server drops the handler's future.
 struct CancelOnDrop<'a> {
     core: &'a Arc<Core>,
     id: Option<RequestId>,
@@ -222,11 +229,11 @@
     }
 }
 
-/// Runs a request under a key. A claimed key must be settled whatever the caller does, so the
-/// work goes on in a task of its own when the caller goes away.
+/// Runs a request with an idempotency key, in a separate task: a claimed key must be settled even
+/// if the caller disconnects.
 async fn run_keyed<L: ControlLink>(
     context: &Arc<Context<L>>,
-    work: &Arc<Work>,
+    work: &Arc<ServiceRequest>,
     key: &IdempotencyKey,
 ) -> Routed {
     let (entry, process) = (&context.settings.id, context.process);
@@ -236,14 +243,14 @@
     let gone = CancellationToken::new();
     let _gone_on_drop = gone.clone().drop_guard();
     let task = tokio::spawn(claim_and_run(context.clone(), work.clone(), open, gone));
-    let failed = |_| (route_error(&lost_error()), None);
+    let failed = |_| (route_error(&dropped_error()), None);
     task.await.unwrap_or_else(failed)
 }
 
 async fn claim_and_run<L: ControlLink>(
     context: Arc<Context<L>>,
-    work: Arc<Work>,
-    open: OpenKey,
+    work: Arc<ServiceRequest>,
+    open: KeyGuard,
     gone: CancellationToken,
 ) -> Routed {
     let timeout = context.core.left(work.deadline).min(CLAIM_TIMEOUT);
@@ -253,43 +260,42 @@
         Ok(Answer::Key(KeyState::Claimed)) => {}
         Ok(Answer::Key(state)) => return (key_reply(&state), None),
         Ok(Answer::Refused(r)) => return (refusal(&r), None),
-        // The claim may stand although its answer was lost. Nothing was started under it, so it
-        // is given back.
+        // The claim may have succeeded although its response was lost. Nothing was started, so it
+        // is settled as not run.
         Ok(_) => {
             open.settle(&context.link, KeyState::NotRun).await;
-            return (control_away(), None);
+            return (control_unavailable(), None);
         }
-        Err(_) => return (control_away(), None),
+        Err(_) => return (control_unavailable(), None),
     }
-    let (id, mut verdict) = context.core.submit(work, Origin::Caller);
+    let (id, mut result) = context.core.submit(work, Origin::Caller);
     let ended = tokio::select! {
-        ended = &mut verdict => ended,
+        ended = &mut result => ended,
         () = gone.cancelled() => {
             context.core.handle(Event::Cancelled(id));
-            verdict.await
+            result.await
         }
     };
-    let ended = ended.unwrap_or_else(|_| Ended::lost());
-    open.settle(&context.link, state_after(&ended.verdict))
-        .await;
-    (reply_to(&ended.verdict), Some(ended))
+    let ended = ended.unwrap_or_else(|_| CompletedRequest::dropped());
+    open.settle(&context.link, state_after(&ended.result)).await;
+    (reply_to(&ended.result), Some(ended))
 }
 
-fn lost_error() -> RouteError {
+fn dropped_error() -> RouteError {
     RouteError::Unknown {
         reason: CompactString::const_new("the entry host dropped the request"),
         late: false,
     }
 }
 
-fn reply_to(verdict: &Verdict) -> Reply {
-    match verdict {
-        Verdict::Answer(answer) => minion_reply(answer),
-        Verdict::Failed(error) => route_error(error),
+fn reply_to(result: &RequestResult) -> Reply {
+    match result {
+        RequestResult::Response(answer) => minion_reply(answer),
+        RequestResult::Failed(error) => route_error(error),
     }
 }
 
-fn minion_reply(answer: &WholeAnswer) -> Reply {
+fn minion_reply(answer: &MinionResponse) -> Reply {
     let mut reply = Reply::new(answer.body.clone());
     *reply.status_mut() = answer.status;
     let headers = reply.headers_mut();
@@ -310,7 +316,7 @@
             let reason = "the request under this key may have run and is not run again";
             explained(StatusCode::CONFLICT, Outcome::Unknown, reason, None)
         }
-        KeyState::NotRun => control_away(),
+        KeyState::NotRun => control_unavailable(),
         KeyState::Mismatch => {
             let reason = "this key was used for another request";
             invalid(StatusCode::UNPROCESSABLE_ENTITY, reason)
@@ -347,9 +353,9 @@
     reply
 }
 
-/// Nothing was started, because control could not be asked.
-pub(super) fn control_away() -> Reply {
+/// The reply when the control plane is unreachable, so that nothing was started.
+pub(super) fn control_unavailable() -> Reply {
     let reason = "control could not be reached; nothing was changed";
     let status = StatusCode::SERVICE_UNAVAILABLE;
-    explained(status, Outcome::NotRun, reason, Some(CONTROL_AWAY))
+    explained(status, Outcome::NotRun, reason, Some(CONTROL_RETRY_AFTER))
 }
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -1,7 +1,7 @@
-//! The entry host's state towards control: the lease and the feed, on a thread of its own.
+//! Renewal of the lease and handling of the feed from the control plane, on a separate thread.
 //!
-//! A burst of traffic on the other threads must not delay a renewal, or the entry host would
-//! lose its minions just when it is needed most.
+//! A burst of requests on the other threads must not delay a renewal, or the entry host would
+//! lose its minions under high load.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,66 +18,71 @@
 use crate::routing::{Event, Lease};
 use crate::wire::{Answer, Call, EntryReport, Feed};
 
-/// Time between renewals before the length of the lease is known.
-const FIRST_PERIOD: Duration = Duration::from_millis(100);
-/// Renewals tried in the time of one lease.
+/// Interval between renewals until the first response tells the length of the lease.
+const INITIAL_RENEW_INTERVAL: Duration = Duration::from_millis(100);
+/// Renewals sent per lease duration.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// Time for one renewal.
+/// Timeout of one renewal.
 const RENEW_TIMEOUT: Duration = Duration::from_secs(1);
-/// Most renewals under way: one lost on a silent connection must not keep the next one back.
-const MAX_UNDER_WAY: u32 = 3;
+/// Maximum renewals in flight: one that is lost on a dead connection must not block the next.
+const MAX_RENEWALS_IN_FLIGHT: u32 = 3;
 
-/// What the rest of the daemon reads of this state.
+/// State shared with the rest of the daemon.
 #[derive(Default)]
-pub(super) struct Standing {
-    /// Whether control has sent a feed.
-    pub(super) fed: AtomicBool,
-    /// Whether the entry host stops as planned.
+pub(super) struct ControlStatus {
+    /// Whether a feed has been received.
+    pub(super) has_feed: AtomicBool,
+    /// Whether a planned shutdown has started; reported with each renewal.
     pub(super) leaving: AtomicBool,
 }
 
-/// Actor that holds the lease.
+/// Actor that renews the lease and applies feeds.
 #[derive(xtra::Actor)]
 pub(super) struct Control<L: ControlLink> {
     pub(super) link: Arc<L>,
     pub(super) core: Arc<Core>,
     pub(super) traffic: Handle,
-    pub(super) standing: Arc<Standing>,
+    pub(super) control_status: Arc<ControlStatus>,
     pub(super) lease: Lease,
-    pub(super) under_way: u32,
+    pub(super) renewals_in_flight: u32,
     pub(super) period: watch::Sender<Duration>,
 }
 
-/// Control sent a new state.
+/// Message: the control plane sent a new feed.
 struct FeedChanged(Arc<Feed>);
 
-/// A renewal is due.
+/// Message: a renewal is due.
 struct Renew;
 
-/// A renewal was answered.
+/// Message: a renewal was answered or failed.
 struct Renewed {
     sent: Timestamp,
     answer: Result<Answer>,
 }
 
 impl<L: ControlLink> Control<L> {
-    /// Starts the actor and what drives it on the current runtime.
-    pub(super) fn start(link: Arc<L>, core: Arc<Core>, traffic: Handle, standing: Arc<Standing>) {
-        let (period, periods) = watch::channel(FIRST_PERIOD);
+    /// Starts the actor and its feed and timer tasks on the current runtime.
+    pub(super) fn start(
+        link: Arc<L>,
+        core: Arc<Core>,
+        traffic: Handle,
+        control_status: Arc<ControlStatus>,
+    ) {
+        let (period, periods) = watch::channel(INITIAL_RENEW_INTERVAL);
         let feed = link.feed();
         let released = core.clone();
         let actor = Self {
             link,
             core,
             traffic,
-            standing,
+            control_status,
             lease: Lease::default(),
-            under_way: 0,
+            renewals_in_flight: 0,
             period,
         };
         let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
         tokio::spawn(follow_feed(feed, address.clone()));
-        tokio::spawn(renew_in_time(periods, released, address));
+        tokio::spawn(renew_periodically(periods, released, address));
     }
 
     fn report(&self) -> EntryReport {
@@ -87,7 +92,7 @@
         EntryReport {
             in_force,
             released,
-            leaving: self.standing.leaving.load(Ordering::Relaxed),
+            leaving: self.control_status.leaving.load(Ordering::Relaxed),
         }
     }
 }
@@ -100,8 +105,8 @@
             .peers
             .set(&self.core, &self.traffic, &feed.entries);
         self.core.handle(Event::Feed(feed));
-        self.core.forget_unowned();
-        self.standing.fed.store(true, Ordering::Relaxed);
+        self.core.close_unowned();
+        self.control_status.has_feed.store(true, Ordering::Relaxed);
     }
 }
 
@@ -109,13 +114,14 @@
     type Return = ();
 
     async fn handle(&mut self, _: Renew, cx: &mut Context<Self>) {
-        if self.under_way >= MAX_UNDER_WAY {
+        if self.renewals_in_flight >= MAX_RENEWALS_IN_FLIGHT {
             return;
         }
-        self.under_way += 1;
+        self.renewals_in_flight += 1;
         let call = Call::Renew(self.report());
         let (link, address) = (self.link.clone(), cx.mailbox().address());
-        // The lease counts from here, before anything is sent.
+        // The lease counts from the time before sending, which is never later than the time from
+        // which the control plane counts it.
         let sent = self.core.now();
         tokio::spawn(async move {
             let answer = link.call(call, RENEW_TIMEOUT).await;
@@ -130,7 +136,7 @@
     type Return = ();
 
     async fn handle(&mut self, Renewed { sent, answer }: Renewed, _cx: &mut Context<Self>) {
-        self.under_way = self.under_way.saturating_sub(1);
+        self.renewals_in_flight = self.renewals_in_flight.saturating_sub(1);
         let Ok(Answer::Lease(length)) = answer else {
             metrics::counter!("yuccahold_entry_renewals_failed_total").increment(1);
             return;
@@ -153,7 +159,7 @@
     }
 }
 
-async fn renew_in_time<L: ControlLink>(
+async fn renew_periodically<L: ControlLink>(
     periods: watch::Receiver<Duration>,
     core: Arc<Core>,
     address: Address<Control<L>>,
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -1,7 +1,7 @@
-//! The router with what its effects need, shared by all threads that carry traffic.
+//! The router and the state needed to apply its effects, shared by all request-handling threads.
 //!
-//! A mutex, not an actor: a decision takes microseconds, and a hop to another thread would cost
-//! each request more than the decision itself.
+//! It is guarded by a mutex instead of being an actor: a routing decision takes microseconds, and
+//! a switch to another thread would cost each request more than the decision itself.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,53 +13,54 @@
 
 use crate::entry::minion_client::MinionClients;
 use crate::entry::peer_dialer::PeerLinks;
-use crate::entry::work::{Ended, Verdict, WholeAnswer, Work};
+use crate::entry::work::{CompletedRequest, MinionResponse, RequestResult, ServiceRequest};
 use crate::ids::{MinionId, Timestamp};
 use crate::routing::{
     AttemptEnd, AttemptId, Effect, Event, Origin, Request, RequestId, Router, SlotReport, Target,
 };
 
-/// A request that waits for its verdict.
-struct Ticket {
-    work: Arc<Work>,
-    verdict: oneshot::Sender<Ended>,
-    answers: Vec<(AttemptId, WholeAnswer)>,
+/// A request without a result yet.
+struct PendingRequest {
+    work: Arc<ServiceRequest>,
+    result: oneshot::Sender<CompletedRequest>,
+    /// Complete responses, of which the router selects one to deliver.
+    answers: Vec<(AttemptId, MinionResponse)>,
     attempts: u32,
 }
 
-impl Ticket {
-    fn end(self, verdict: Verdict) {
+impl PendingRequest {
+    fn end(self, result: RequestResult) {
         let attempts = self.attempts;
-        let _ = self.verdict.send(Ended { verdict, attempts });
+        let _ = self.result.send(CompletedRequest { result, attempts });
     }
 }
 
 struct State {
     router: Router,
-    tickets: HashMap<RequestId, Ticket>,
+    pending: HashMap<RequestId, PendingRequest>,
     attempts: HashMap<AttemptId, AbortHandle>,
     next_request: RequestId,
 }
 
-/// One start of a try, as the task that carries it needs it.
-pub(super) struct Start {
+/// An attempt to start, with everything its task needs.
+pub(super) struct AttemptStart {
     pub(super) attempt: AttemptId,
     pub(super) request: RequestId,
     pub(super) target: Target,
     pub(super) until: Timestamp,
-    pub(super) work: Arc<Work>,
+    pub(super) work: Arc<ServiceRequest>,
 }
 
-/// The shared core.
+/// Shared state of the daemon; see the module.
 pub(super) struct Core {
     state: Mutex<State>,
     runtime: Handle,
     started: Instant,
     pub(super) clients: MinionClients,
     pub(super) peers: PeerLinks,
-    /// Woken when control should be told of released minions at once.
+    /// Notified when released minions should be reported to the control plane without delay.
     pub(super) released: Notify,
-    /// Counts the times peers should be told of the load.
+    /// Incremented when a load report to the peers is due.
     pub(super) load_changed: watch::Sender<u64>,
 }
 
@@ -72,7 +73,7 @@
     ) -> Self {
         let state = State {
             router,
-            tickets: HashMap::new(),
+            pending: HashMap::new(),
             attempts: HashMap::new(),
             next_request: 1,
         };
@@ -92,40 +93,40 @@
         self.started.elapsed()
     }
 
-    /// Time left until a point of the router's clock.
+    /// Time left until `until` on the router's clock; zero if it has passed.
     pub(super) fn left(&self, until: Timestamp) -> Duration {
         until.saturating_sub(self.now())
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // A panic inside the router is a defect; the other requests go on.
+        // After a panic inside the router, which is a bug, the other requests continue.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads from the router.
+    /// Reads router state at the current time.
     pub(super) fn read<T>(&self, read: impl FnOnce(&Router, Timestamp) -> T) -> T {
         let state = self.lock();
         read(&state.router, self.now())
     }
 
-    /// Closes connections to minions that are not owned any more.
-    pub(super) fn forget_unowned(&self) {
+    /// Closes connections to minions that are no longer owned.
+    pub(super) fn close_unowned(&self) {
         let state = self.lock();
         self.clients.retain(|id| state.router.owns(id));
     }
 
-    /// Takes in an event and carries out its effects.
+    /// Passes an event to the router and applies its effects.
     pub(super) fn handle(self: &Arc<Self>, event: Event) {
         let mut state = self.lock();
         self.step(&mut state, event);
     }
 
-    /// Takes in a request; the verdict comes on the receiver.
+    /// Submits a request; its result is sent on the receiver.
     pub(super) fn submit(
         self: &Arc<Self>,
-        work: Arc<Work>,
+        work: Arc<ServiceRequest>,
         origin: Origin,
-    ) -> (RequestId, oneshot::Receiver<Ended>) {
+    ) -> (RequestId, oneshot::Receiver<CompletedRequest>) {
         let (tx, rx) = oneshot::channel();
         let mut state = self.lock();
         let id = state.next_request;
@@ -140,24 +141,25 @@
             idempotent: work.idempotent,
             origin,
         };
-        let ticket = Ticket {
+        let pending = PendingRequest {
             work,
-            verdict: tx,
+            result: tx,
             answers: Vec::new(),
             attempts: 0,
         };
-        state.tickets.insert(id, ticket);
+        state.pending.insert(id, pending);
         self.step(&mut state, Event::Arrived(request));
         (id, rx)
     }
 
-    /// Ends a try, with its whole answer if there is one.
+    /// Ends an attempt, with its response if it was complete. The late result of an aborted attempt
+    /// is dropped.
     pub(super) fn end(
         self: &Arc<Self>,
         request: RequestId,
         attempt: AttemptId,
         end: AttemptEnd,
-        answer: Option<WholeAnswer>,
+        answer: Option<MinionResponse>,
     ) {
         let mut state = self.lock();
         if state.attempts.remove(&attempt).is_none() {
@@ -165,9 +167,9 @@
             return;
         }
         if let Some(answer) = answer
-            && let Some(ticket) = state.tickets.get_mut(&request)
+            && let Some(pending) = state.pending.get_mut(&request)
         {
-            ticket.answers.push((attempt, answer));
+            pending.answers.push((attempt, answer));
         }
         self.step(&mut state, Event::Ended { attempt, end });
     }
@@ -176,11 +178,11 @@
         let mut effects = Vec::new();
         state.router.handle(self.now(), event, &mut effects);
         for effect in effects {
-            self.carry_out(state, effect);
+            self.apply_effect(state, effect);
         }
     }
 
-    fn carry_out(self: &Arc<Self>, state: &mut State, effect: Effect) {
+    fn apply_effect(self: &Arc<Self>, state: &mut State, effect: Effect) {
         match effect {
             Effect::Start {
                 attempt,
@@ -188,16 +190,16 @@
                 target,
                 until,
             } => {
-                let Some(ticket) = state.tickets.get_mut(&request) else {
+                let Some(pending) = state.pending.get_mut(&request) else {
                     return;
                 };
-                ticket.attempts += 1;
-                let start = Start {
+                pending.attempts += 1;
+                let start = AttemptStart {
                     attempt,
                     request,
                     target,
                     until,
-                    work: ticket.work.clone(),
+                    work: pending.work.clone(),
                 };
                 let task = self.runtime.spawn(run_attempt(self.clone(), start));
                 state.attempts.insert(attempt, task.abort_handle());
@@ -210,8 +212,8 @@
             Effect::Withdraw(attempt) => self.peers.withdraw(attempt),
             Effect::Deliver { request, attempt } => deliver(state, request, attempt),
             Effect::Fail { request, error } => {
-                if let Some(ticket) = state.tickets.remove(&request) {
-                    ticket.end(Verdict::Failed(error));
+                if let Some(pending) = state.pending.remove(&request) {
+                    pending.end(RequestResult::Failed(error));
                 }
             }
             Effect::Probe {
@@ -219,7 +221,7 @@
                 addr,
                 epoch,
             } => drop(self.runtime.spawn(probe(self.clone(), minion, addr, epoch))),
-            Effect::Reconnect(minion) => self.clients.forget(&minion),
+            Effect::Reconnect(minion) => self.clients.close_connections(&minion),
             Effect::Released(_) => self.released.notify_one(),
             Effect::AnnounceLoad => self.load_changed.send_modify(|n| *n += 1),
         }
@@ -227,18 +229,18 @@
 }
 
 fn deliver(state: &mut State, request: RequestId, attempt: AttemptId) {
-    let Some(mut ticket) = state.tickets.remove(&request) else {
+    let Some(mut pending) = state.pending.remove(&request) else {
         return;
     };
-    let held = ticket.answers.iter().position(|(id, _)| *id == attempt);
-    let verdict = match held {
-        Some(index) => Verdict::Answer(ticket.answers.swap_remove(index).1),
-        None => Verdict::lost(),
+    let held = pending.answers.iter().position(|(id, _)| *id == attempt);
+    let result = match held {
+        Some(index) => RequestResult::Response(pending.answers.swap_remove(index).1),
+        None => RequestResult::dropped(),
     };
-    ticket.end(verdict);
+    pending.end(result);
 }
 
-async fn run_attempt(core: Arc<Core>, start: Start) {
+async fn run_attempt(core: Arc<Core>, start: AttemptStart) {
     let (request, attempt) = (start.request, start.attempt);
     let (end, answer) = match &start.target {
         Target::Minion { .. } => core.clients.send(&core, &start).await,
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -1,4 +1,4 @@
-//! Start and planned stop of the traffic daemon.
+//! Start and planned shutdown of the entry daemon.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 
 use crate::entry::access::AccessLog;
-use crate::entry::burn::{BurnTally, hand_over};
-use crate::entry::control::{Control, Standing};
+use crate::entry::burn::{BurnTally, report_burn};
+use crate::entry::control::{Control, ControlStatus};
 use crate::entry::core::Core;
 use crate::entry::http::filter;
-use crate::entry::keys::KeyTable;
+use crate::entry::keys::ActiveKeys;
 use crate::entry::link::{ControlLink, RemoteLink};
 use crate::entry::minion_client::MinionClients;
 use crate::entry::peer_dialer::PeerLinks;
@@ -28,26 +28,26 @@
 use crate::telemetry::{MetricsPage, install_metrics};
 use crate::wire::{CellKeys, EntryHello};
 
-/// Time between two looks at deadlines while requests are under way.
+/// Interval between router ticks while requests are in progress.
 const BUSY_TICK: Duration = Duration::from_millis(5);
-/// Time between two looks at deadlines otherwise.
+/// Interval between router ticks without requests.
 const IDLE_TICK: Duration = Duration::from_millis(50);
-/// Time between two rounds of upkeep of the metrics and of idle connections.
-const UPKEEP: Duration = Duration::from_secs(5);
-/// Time between two looks at whether a planned stop is complete.
-const STOP_POLL: Duration = Duration::from_millis(10);
+/// Interval between maintenance runs of metrics and idle connections.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between checks whether a planned shutdown is complete.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the HTTP handlers share.
+/// State shared by the HTTP handlers.
 pub(super) struct Context<L> {
     pub(super) settings: EntrySettings,
     pub(super) process: ProcessId,
     pub(super) core: Arc<Core>,
     pub(super) link: Arc<L>,
-    pub(super) keys: KeyTable,
+    pub(super) keys: ActiveKeys,
     pub(super) access: AccessLog,
     pub(super) burn: Arc<BurnTally>,
     pub(super) log: slog::Logger,
-    standing: Arc<Standing>,
+    control_status: Arc<ControlStatus>,
     stopping: AtomicBool,
     metrics: MetricsPage,
 }
@@ -58,10 +58,10 @@
     }
 
     pub(super) fn has_document(&self) -> bool {
-        self.standing.fed.load(Ordering::Relaxed)
+        self.control_status.has_feed.load(Ordering::Relaxed)
     }
 
-    /// Why the balancer should not send callers here; none when it should.
+    /// Why the load balancer should not send requests here; none when ready.
     pub(super) fn not_ready(&self) -> Option<&'static str> {
         if self.stopping.load(Ordering::Relaxed) {
             return Some("the entry host stops");
@@ -73,7 +73,7 @@
         (!leased).then_some("the lease from control has lapsed")
     }
 
-    /// The service that a declared route leads to, with the length of its prefix.
+    /// The service of the route with the longest matching prefix, and the length of that prefix.
     pub(super) fn route(&self, path: &str) -> Option<(ServiceName, usize)> {
         let document = self.core.read(|router, _| router.document().clone());
         let matches = document.routes.iter().filter(|route| {
@@ -87,10 +87,10 @@
     }
 }
 
-/// The traffic daemon.
+/// The entry daemon, which serves callers' HTTP requests.
 pub struct Entry;
 
-/// A running traffic daemon. It goes on when this is dropped, until its runtime ends.
+/// A running entry daemon. Dropping this doesn't stop it; it then runs until its runtime ends.
 pub struct EntryHandle {
     http_addr: SocketAddr,
     peer_addr: SocketAddr,
@@ -100,7 +100,7 @@
 }
 
 impl Entry {
-    /// Starts the daemon on the current runtime, with a thread of its own towards control.
+    /// Starts the daemon on the current runtime, with a separate thread for the control plane.
     pub async fn start(
         settings: EntrySettings,
         keys: CellKeys,
@@ -112,7 +112,7 @@
         Self::start_with(settings, keys, log, make).await
     }
 
-    /// Starts the daemon with a link of the caller's. `link` is called on the control thread.
+    /// Like [`Entry::start`] with the link made by `link`, which is called on the control thread.
     pub async fn start_with<L: ControlLink>(
         settings: EntrySettings,
         keys: CellKeys,
@@ -125,7 +125,7 @@
         let peer = bind(settings.peer_listen).await?;
         let (http_addr, peer_addr) = (local_addr(&http)?, local_addr(&peer)?);
         let core = Arc::new(make_core(&settings, process, &keys)?);
-        let standing = Arc::new(Standing::default());
+        let control_status = Arc::new(ControlStatus::default());
         let hello = EntryHello {
             entry: settings.id.clone(),
             process,
@@ -134,17 +134,17 @@
             in_force: 0,
         };
         let control_end = CancellationToken::new();
-        let link = start_control(hello, link, &core, &standing, control_end.clone()).await?;
+        let link = start_control(hello, link, &core, &control_status, control_end.clone()).await?;
         let context = Arc::new(Context {
             settings,
             process,
             core,
             link,
-            keys: KeyTable::default(),
+            keys: ActiveKeys::default(),
             access: AccessLog::default(),
             burn: Arc::default(),
             log,
-            standing,
+            control_status,
             stopping: AtomicBool::new(false),
             metrics,
         });
@@ -168,23 +168,23 @@
 }
 
 impl EntryHandle {
-    /// Where HTTP is answered.
+    /// Bound address for HTTP.
     pub const fn http_addr(&self) -> SocketAddr {
         self.http_addr
     }
 
-    /// Where peers are answered.
+    /// Bound address for connections from peers.
     pub const fn peer_addr(&self) -> SocketAddr {
         self.peer_addr
     }
 
-    /// Number of this process.
+    /// Random number that identifies this process; a restarted daemon has another.
     pub const fn process(&self) -> ProcessId {
         self.process
     }
 
-    /// Stops as planned: turns not ready, waits for the balancer, lets requests end, hands the
-    /// minions over.
+    /// Shuts down as planned: becomes not ready, waits for the load balancer to notice, lets
+    /// requests end and releases the minions.
     pub async fn stop(self) {
         self.stop.cancel();
         let _ = self.ended.await;
@@ -214,15 +214,15 @@
     Ok(Core::new(router, Handle::current(), clients, peers))
 }
 
-/// Starts the thread that holds the state towards control, and gives back its link.
+/// Starts the thread that renews the lease and receives the feed, and returns its link.
 async fn start_control<L: ControlLink>(
     hello: EntryHello,
     link: impl FnOnce(EntryHello) -> L + Send + 'static,
     core: &Arc<Core>,
-    standing: &Arc<Standing>,
+    control_status: &Arc<ControlStatus>,
     end: CancellationToken,
 ) -> Result<Arc<L>> {
-    let (core, standing, traffic) = (core.clone(), standing.clone(), Handle::current());
+    let (core, control_status, traffic) = (core.clone(), control_status.clone(), Handle::current());
     let (tx, rx) = oneshot::channel();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -233,7 +233,7 @@
     let run = move || {
         runtime.block_on(async move {
             let link = Arc::new(link(hello));
-            Control::start(link.clone(), core, traffic, standing);
+            Control::start(link.clone(), core, traffic, control_status);
             let _ = tx.send(link);
             end.cancelled().await;
         });
@@ -243,13 +243,13 @@
         .map_err(|e| Error::caused(Step::Listen, "starting the control thread", e))
 }
 
-/// A daemon between start and end.
+/// The parts of a started daemon that its main task owns.
 struct Running<L> {
     context: Arc<Context<L>>,
     http: TcpListener,
     peer: TcpListener,
     keys: CellKeys,
-    /// Ends the control thread when this daemon ends, also when its runtime is shut down.
+    /// Ends the control thread when the daemon ends, also when its runtime is shut down.
     _control: DropGuard,
 }
 
@@ -260,8 +260,8 @@
         let load = core.load_changed.subscribe();
         let peers = tokio::spawn(peer_server::serve(self.peer, core.clone(), self.keys, load));
         let ticks = tokio::spawn(tick(core.clone()));
-        let upkeep = tokio::spawn(keep_up(context.metrics.clone(), core.clone()));
-        let burn = tokio::spawn(hand_over(context.burn.clone(), context.link.clone()));
+        let upkeep = tokio::spawn(maintain(context.metrics.clone(), core.clone()));
+        let burn = tokio::spawn(report_burn(context.burn.clone(), context.link.clone()));
         let close = CancellationToken::new();
         let server = warp::serve(filter(context.clone()))
             .incoming(self.http)
@@ -269,7 +269,7 @@
             .run();
         let server = tokio::spawn(server);
         stop.cancelled().await;
-        stop_as_planned(&context, &close, server).await;
+        shut_down(&context, &close, server).await;
         core.peers.stop();
         peers.abort();
         ticks.abort();
@@ -278,7 +278,7 @@
     }
 }
 
-async fn stop_as_planned<L: ControlLink>(
+async fn shut_down<L: ControlLink>(
     context: &Context<L>,
     close: &CancellationToken,
     server: JoinHandle<()>,
@@ -287,30 +287,33 @@
     context.stopping.store(true, Ordering::Relaxed);
     tokio::time::sleep(context.settings.stop_delay).await;
     let end = Instant::now() + context.settings.stop_grace;
-    context.standing.leaving.store(true, Ordering::Relaxed);
+    context
+        .control_status
+        .leaving
+        .store(true, Ordering::Relaxed);
     context.core.handle(Event::Leaving);
     context.core.released.notify_one();
     close.cancel();
     let until = tokio::time::Instant::from_std(end);
     let _ = tokio::time::timeout_at(until, server).await;
     while !is_handed_over(context) && Instant::now() < end {
-        tokio::time::sleep(STOP_POLL).await;
+        tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
     slog::info!(context.log, "stopped"; "handed_over" => is_handed_over(context));
 }
 
-/// Whether no minion and no request is left here.
+/// Whether no request is in progress and no minion is owned any more.
 fn is_handed_over<L>(context: &Context<L>) -> bool {
     context
         .core
         .read(|router, _| router.live() == 0 && router.owned() == 0)
 }
 
-/// Folds in what histograms collected, so that they stay small when nobody reads the page, and
-/// closes connections that nobody uses.
-async fn keep_up(metrics: MetricsPage, core: Arc<Core>) {
+/// Merges histogram samples, which would otherwise accumulate until the metrics page is read, and
+/// closes idle connections.
+async fn maintain(metrics: MetricsPage, core: Arc<Core>) {
     loop {
-        tokio::time::sleep(UPKEEP).await;
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
         metrics.upkeep();
         core.clients.close_idle();
     }
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP face: one entrance that sorts requests by path.
+//! HTTP server: dispatches all requests by method and path.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use crate::entry::reply::{Outcome, Reply, explained, invalid, json};
 use crate::entry::{announce, callers, jobs};
 
-/// Largest body of a request that is not for a minion.
-const SMALL_BODY: usize = 1024 * 1024;
-/// Bytes over the limit that are read and dropped before a request is refused.
-pub(super) const DRAIN: usize = 16 * 1024 * 1024;
-/// Longest time for a body that is not for a minion.
-const SMALL_BODY_TIME: Duration = Duration::from_secs(10);
+/// Maximum body size of a request to this entry host's own API.
+const MAX_API_BODY: usize = 1024 * 1024;
+/// Maximum bytes over the body limit that are read and discarded before a request is refused.
+pub(super) const MAX_DISCARDED_BYTES: usize = 16 * 1024 * 1024;
+/// Timeout of reading the body of a request to the JSON API.
+const API_BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A request as it came in, its body not read yet.
+/// A received request whose body has not been read.
 pub(super) struct Incoming<S> {
     pub(super) method: Method,
     pub(super) path: String,
@@ -32,14 +32,14 @@
     pub(super) body: S,
 }
 
-/// Why a body could not be read whole.
+/// Why a body could not be read completely.
 pub(super) enum BodyError {
     TooLarge,
-    Cut,
-    Late,
+    ConnectionLost,
+    Timeout,
 }
 
-/// The filter that answers everything.
+/// The filter that handles every request.
 pub(super) fn filter<L: ControlLink>(
     context: Arc<Context<L>>,
 ) -> impl Filter<Extract = (Reply,), Error = std::convert::Infallible> + Clone + Send + Sync + 'static
@@ -86,18 +86,18 @@
             let status = context.core.read(|router, now| router.status(now));
             json(StatusCode::OK, Outcome::Done, &status)
         }
-        (&Method::PUT, ["v1", "minions", id]) => match small_json(incoming).await {
+        (&Method::PUT, ["v1", "minions", id]) => match read_json(incoming).await {
             Ok(body) => announce::minion(context, id, body).await,
             Err(refused) => refused,
         },
-        (&Method::DELETE, ["v1", "minions", id]) => announce::minion_leaves(context, id).await,
-        (&Method::POST, ["v1", "workers", id, "poll"]) => match small_json(incoming).await {
+        (&Method::DELETE, ["v1", "minions", id]) => announce::withdraw_minion(context, id).await,
+        (&Method::POST, ["v1", "workers", id, "poll"]) => match read_json(incoming).await {
             Ok(poll) => announce::worker(context, id, poll).await,
             Err(refused) => refused,
         },
         (&Method::POST, ["v1", "jobs"]) => {
             let headers = incoming.headers.clone();
-            match small_json(incoming).await {
+            match read_json(incoming).await {
                 Ok(job) => jobs::submit(context, &headers, job).await,
                 Err(refused) => refused,
             }
@@ -107,10 +107,10 @@
         (_, ["v1", "document"] | ["console", ..])
         | (&Method::GET, ["v1", "jobs" | "history" | "workers" | "minions" | "entries"])
         | (&Method::GET, ["v1", "replicas" | "teams" | "audit" | "burn"]) => {
-            match read_body(incoming.body, SMALL_BODY).await {
+            match read_body(incoming.body, MAX_API_BODY).await {
                 Ok(body) => {
                     let path = with_query(&path, &incoming.query);
-                    jobs::pass_on(context, &method, path, &incoming.headers, &body).await
+                    jobs::forward_http(context, &method, path, &incoming.headers, &body).await
                 }
                 Err(e) => body_refused(&e),
             }
@@ -153,8 +153,8 @@
 
 /// Reads a whole body of at most `limit` bytes.
 ///
-/// What is over the limit is read and dropped, up to a bound: a caller that still writes when
-/// the connection closes sees a broken pipe instead of the refusal.
+/// Bytes over the limit are read and discarded, up to [`MAX_DISCARDED_BYTES`]: a caller that is
+/// still writing when the connection closes would see a broken pipe instead of the refusal.
 pub(super) async fn read_body<B: Buf, E>(
     body: impl Stream<Item = Result<B, E>> + Send,
     limit: usize,
@@ -163,9 +163,9 @@
     let mut whole = BytesMut::new();
     let mut len = 0;
     while let Some(piece) = body.next().await {
-        let mut piece = piece.map_err(|_| BodyError::Cut)?;
+        let mut piece = piece.map_err(|_| BodyError::ConnectionLost)?;
         len += piece.remaining();
-        if len > limit + DRAIN {
+        if len > limit + MAX_DISCARDED_BYTES {
             return Err(BodyError::TooLarge);
         }
         while len <= limit && piece.has_remaining() {
@@ -181,15 +181,15 @@
     Ok(whole.freeze())
 }
 
-async fn small_json<T: DeserializeOwned, S, B, E>(incoming: Incoming<S>) -> Result<T, Reply>
+async fn read_json<T: DeserializeOwned, S, B, E>(incoming: Incoming<S>) -> Result<T, Reply>
 where
     S: Stream<Item = Result<B, E>> + Send,
     B: Buf,
 {
-    let reading = read_body(incoming.body, SMALL_BODY);
-    let body = tokio::time::timeout(SMALL_BODY_TIME, reading).await;
+    let reading = read_body(incoming.body, MAX_API_BODY);
+    let body = tokio::time::timeout(API_BODY_TIMEOUT, reading).await;
     let body = body
-        .unwrap_or(Err(BodyError::Late))
+        .unwrap_or(Err(BodyError::Timeout))
         .map_err(|e| body_refused(&e))?;
     serde_json::from_slice(&body).map_err(|e| {
         let reason = format!("the body is not the JSON wanted here: {e}");
@@ -200,7 +200,7 @@
 pub(super) fn body_refused(error: &BodyError) -> Reply {
     match error {
         BodyError::TooLarge => invalid(StatusCode::PAYLOAD_TOO_LARGE, "the body is over the limit"),
-        BodyError::Cut => invalid(StatusCode::BAD_REQUEST, "the body was cut"),
-        BodyError::Late => invalid(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"),
+        BodyError::ConnectionLost => invalid(StatusCode::BAD_REQUEST, "the body was cut"),
+        BodyError::Timeout => invalid(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"),
     }
 }
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs and operators' requests: passed to control, the answer turned into HTTP.
+//! Job and operator requests: forwarded to the control plane, whose answers become HTTP replies.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use http::header::{HeaderName, HeaderValue};
 use http::{HeaderMap, Method, StatusCode};
 
-use crate::entry::callers::control_away;
+use crate::entry::callers::control_unavailable;
 use crate::entry::daemon::Context;
 use crate::entry::link::ControlLink;
 use crate::entry::reply::{
@@ -15,7 +15,7 @@
 use crate::error::Result;
 use crate::wire::{Answer, Call, HttpAnswer, HttpCall, JobSubmission};
 
-/// Longest time for a call about a job.
+/// Timeout of a call to the control plane.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// `POST /v1/jobs`.
@@ -49,8 +49,8 @@
     reply(context.link.call(call, CALL_TIMEOUT).await, StatusCode::OK)
 }
 
-/// An operator's request, carried to the leader.
-pub(super) async fn pass_on<L: ControlLink>(
+/// Forwards an operator's HTTP request to the control plane's leader.
+pub(super) async fn forward_http<L: ControlLink>(
     context: &Context<L>,
     method: &Method,
     path: String,
@@ -70,17 +70,17 @@
     reply(context.link.call(call, CALL_TIMEOUT).await, StatusCode::OK)
 }
 
-/// Turns control's answer into HTTP. `success` is the status of an answer that is no refusal.
+/// Converts an answer to an HTTP reply. `success` is the status used unless the call was refused.
 pub(super) fn reply(answer: Result<Answer>, success: StatusCode) -> Reply {
     match answer {
         Ok(Answer::Job(view)) => json(success, Outcome::Done, &view),
         Ok(Answer::Tasks(tasks)) => json(success, Outcome::Done, &tasks),
-        Ok(Answer::Http(answer)) => passed_back(answer),
+        Ok(Answer::Http(answer)) => http_reply(answer),
         Ok(Answer::Ok | Answer::Lease(_) | Answer::Key(_)) => {
             explained(success, Outcome::Done, "accepted", None)
         }
         Ok(Answer::Refused(r)) => refusal(&r),
-        Ok(Answer::NotLeader(_)) | Err(_) => control_away(),
+        Ok(Answer::NotLeader(_)) | Err(_) => control_unavailable(),
         Ok(Answer::Unknown) => {
             let reason = "control did not answer in time; it may have taken effect";
             let again = Some(Duration::from_secs(1));
@@ -89,7 +89,7 @@
     }
 }
 
-fn passed_back(answer: HttpAnswer) -> Reply {
+fn http_reply(answer: HttpAnswer) -> Reply {
     let mut reply = Reply::new(answer.body.into());
     *reply.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     set_outcome(reply.headers_mut(), Outcome::Done);
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -1,56 +1,57 @@
-//! Idempotency keys: claimed in the replicated state before the start, settled after the end.
+//! Idempotency keys: claimed in the replicated state before the request starts and settled after
+//! it ends.
 //!
-//! The key lives in the replicated state, because a resend may come to any entry host. It costs
-//! two agreed entries a request: one before the start, one before the answer.
+//! Keys are stored in the replicated state because a resend may reach any entry host. Each request
+//! with a key costs two replicated log entries: one before its start, one before its response.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use crate::entry::link::ControlLink;
-use crate::entry::work::{Verdict, WholeAnswer, Work};
+use crate::entry::work::{MinionResponse, RequestResult, ServiceRequest};
 use crate::ids::{EntryId, IdempotencyKey, ProcessId, ServiceName};
 use crate::routing::RouteError;
 use crate::wire::{Answer, Call, KeyClaim, KeySettlement, KeyState, RefusalKind, StoredAnswer};
 
-/// Largest answer body kept for resends.
-const STORED_LIMIT: usize = 64 * 1024;
-/// Time for one settlement.
+/// Largest response body in bytes stored for resends.
+const MAX_STORED_BODY: usize = 64 * 1024;
+/// Timeout of one settlement call.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between two tries of a settlement.
-const SETTLE_RETRY: Duration = Duration::from_millis(500);
+/// Delay between two settlement calls.
+const SETTLE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-type Name = (ServiceName, IdempotencyKey);
+type KeyId = (ServiceName, IdempotencyKey);
 
-/// Keys this process has claimed and not yet settled.
+/// Keys that this process has claimed and not yet settled.
 ///
-/// A second request under such a key must not reach control: it would find its own entry host's
-/// claim and could be taken for a resend of the claim itself.
+/// A second request with such a key must not be claimed at the control plane: the claim would come
+/// from the same entry host and process as the first and could be mistaken for a resend of it.
 #[derive(Default)]
-pub(super) struct KeyTable {
-    open: Arc<Mutex<HashSet<Name>>>,
+pub(super) struct ActiveKeys {
+    open: Arc<Mutex<HashSet<KeyId>>>,
 }
 
-/// One key held by this process until it is settled.
-pub(super) struct OpenKey {
-    open: Arc<Mutex<HashSet<Name>>>,
-    name: Name,
+/// A key reserved in this process until it is settled or this is dropped.
+pub(super) struct KeyGuard {
+    open: Arc<Mutex<HashSet<KeyId>>>,
+    name: KeyId,
     entry: EntryId,
     process: ProcessId,
 }
 
-impl KeyTable {
-    /// Takes a key, unless a request under it is under way here.
+impl ActiveKeys {
+    /// Reserves a key; none if a request with it is in progress here.
     pub(super) fn open(
         &self,
         service: &ServiceName,
         key: &IdempotencyKey,
         entry: &EntryId,
         process: ProcessId,
-    ) -> Option<OpenKey> {
+    ) -> Option<KeyGuard> {
         let name = (service.clone(), key.clone());
         let taken = lock(&self.open).insert(name.clone());
-        taken.then(|| OpenKey {
+        taken.then(|| KeyGuard {
             open: self.open.clone(),
             name,
             entry: entry.clone(),
@@ -59,15 +60,15 @@
     }
 }
 
-impl Drop for OpenKey {
+impl Drop for KeyGuard {
     fn drop(&mut self) {
         lock(&self.open).remove(&self.name);
     }
 }
 
-impl OpenKey {
-    /// The claim for a request.
-    pub(super) fn claim(&self, work: &Work) -> Call {
+impl KeyGuard {
+    /// The call that claims the key for a request.
+    pub(super) fn claim(&self, work: &ServiceRequest) -> Call {
         Call::ClaimKey(KeyClaim {
             service: self.name.0.clone(),
             key: self.name.1.clone(),
@@ -78,8 +79,8 @@
         })
     }
 
-    /// Records what became of the request. Tries once before the caller is answered, then goes
-    /// on in the background; the key stays taken here until control has it.
+    /// Records the outcome of the request. Calls once before the caller gets the response, then
+    /// retries in the background; the key stays reserved here until the control plane has it.
     pub(super) async fn settle<L: ControlLink>(self, link: &Arc<L>, state: KeyState) {
         if self.try_settle(link.as_ref(), &state).await {
             return;
@@ -87,7 +88,7 @@
         let link = link.clone();
         tokio::spawn(async move {
             while !self.try_settle(link.as_ref(), &state).await {
-                tokio::time::sleep(SETTLE_RETRY).await;
+                tokio::time::sleep(SETTLE_RETRY_DELAY).await;
             }
         });
     }
@@ -109,21 +110,21 @@
     }
 }
 
-/// What control records for a verdict.
-pub(super) fn state_after(verdict: &Verdict) -> KeyState {
-    match verdict {
-        Verdict::Answer(answer) => KeyState::Done(stored(answer)),
-        Verdict::Failed(RouteError::NotRun { .. }) => KeyState::NotRun,
-        Verdict::Failed(RouteError::Unknown { .. }) => KeyState::Unknown,
+/// The key state to record for a result.
+pub(super) fn state_after(result: &RequestResult) -> KeyState {
+    match result {
+        RequestResult::Response(answer) => KeyState::Done(stored(answer)),
+        RequestResult::Failed(RouteError::NotRun { .. }) => KeyState::NotRun,
+        RequestResult::Failed(RouteError::Unknown { .. }) => KeyState::Unknown,
     }
 }
 
-fn stored(answer: &WholeAnswer) -> StoredAnswer {
+fn stored(answer: &MinionResponse) -> StoredAnswer {
     let content_type = answer.headers.get(http::header::CONTENT_TYPE);
     let content_type = content_type
         .and_then(|v| v.to_str().ok())
         .unwrap_or_default();
-    let small = answer.body.len() <= STORED_LIMIT;
+    let small = answer.body.len() <= MAX_STORED_BODY;
     StoredAnswer {
         status: answer.status.as_u16(),
         content_type: content_type.into(),
@@ -131,8 +132,8 @@
     }
 }
 
-/// Hash of what makes two requests the same.
-fn digest(work: &Work) -> [u8; 16] {
+/// Hash of method, path and body, which must be equal when a key is used again.
+fn digest(work: &ServiceRequest) -> [u8; 16] {
     let mut hasher = blake3::Hasher::new();
     for part in [work.method.as_str().as_bytes(), work.path.as_bytes()] {
         hasher.update(&(part.len() as u64).to_le_bytes());
--- a/src/entry/link.rs
+++ b/src/entry/link.rs
@@ -1,4 +1,4 @@
-//! The link to control: one connection to the leader, calls matched by id, the feed merged.
+//! Link to the control plane: one connection to the leader for calls and the feed.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -8,43 +8,43 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-use crate::entry::link_connection::{Connection, Lost};
+use crate::entry::link_connection::{Connection, ConnectionEnd};
 use crate::error::{Error, Result, Step};
 use crate::ids::Revision;
 use crate::wire::{Answer, Call, CellKeys, EntryHello, Feed};
 
-/// Calls that may wait for the connection.
-const QUEUE: usize = 4096;
-/// Time before the next replica is tried.
-const RETRY: Duration = Duration::from_millis(100);
+/// Maximum calls queued for the connection.
+const MAX_QUEUED_CALLS: usize = 4096;
+/// Delay before connecting to the next replica.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 
-/// How an entry host asks control.
+/// Calls from an entry host to the control plane, and the feed in return.
 pub trait ControlLink: Send + Sync + 'static {
-    /// Asks and waits for the answer. An error means that nothing was sent; a call that was sent
-    /// and got no answer in time gives [`Answer::Unknown`].
+    /// Sends a call and waits for its answer. An error means that nothing was sent; a call that was
+    /// sent and got no answer in time gives [`Answer::Unknown`].
     fn call(&self, call: Call, timeout: Duration) -> impl Future<Output = Result<Answer>> + Send;
 
     /// The latest feed, with the document always present once there is one.
     fn feed(&self) -> watch::Receiver<Arc<Feed>>;
 }
 
-/// One call on its way.
-pub(super) struct Pending {
+/// A call without an answer yet.
+pub(super) struct PendingCall {
     pub(super) call: Call,
     pub(super) deadline: Instant,
     pub(super) sent: bool,
     pub(super) reply: oneshot::Sender<Result<Answer>>,
 }
 
-impl Pending {
-    /// Whether it may be sent again after the connection was lost with no answer.
+impl PendingCall {
+    /// Whether the call may be resent after the connection was lost before its answer.
     fn resendable(&self) -> bool {
         match &self.call {
-            // Without a name or key, a second submission would be a second job.
+            // Without a name or key, a second submission would create a second job.
             Call::SubmitJob(job) => job.name.is_some() || job.key.is_some(),
             // A second claim would find the first one in progress.
             Call::ClaimKey(_) | Call::Http(_) => false,
-            // Counted twice, it would raise a false alert.
+            // Counted twice, the events could raise a false alert.
             Call::Burn(_) => false,
             _ => true,
         }
@@ -60,17 +60,17 @@
     }
 }
 
-/// The real link, over TCP.
+/// Link to control replicas over TCP.
 #[derive(Clone)]
 pub struct RemoteLink {
-    calls: mpsc::Sender<Pending>,
+    calls: mpsc::Sender<PendingCall>,
     feed: watch::Receiver<Arc<Feed>>,
 }
 
 impl ControlLink for RemoteLink {
     async fn call(&self, call: Call, timeout: Duration) -> Result<Answer> {
         let (reply, answer) = oneshot::channel();
-        let pending = Pending {
+        let pending = PendingCall {
             call,
             deadline: Instant::now() + timeout,
             sent: false,
@@ -95,7 +95,7 @@
         keys: CellKeys,
         log: slog::Logger,
     ) -> Self {
-        let (calls, queue) = mpsc::channel(QUEUE);
+        let (calls, queue) = mpsc::channel(MAX_QUEUED_CALLS);
         let (feed_tx, feed) = watch::channel(Arc::default());
         let dialer = Dialer {
             hello,
@@ -110,7 +110,7 @@
     }
 }
 
-/// Finds the leader.
+/// Connects to the leader: to the address that a replica named, or else to each replica in turn.
 struct Dialer {
     hello: EntryHello,
     control: Vec<SocketAddr>,
@@ -146,14 +146,14 @@
 
 async fn run(
     mut dialer: Dialer,
-    mut queue: mpsc::Receiver<Pending>,
+    mut queue: mpsc::Receiver<PendingCall>,
     feed: watch::Sender<Arc<Feed>>,
 ) {
-    let mut waiting: Vec<Pending> = Vec::new();
+    let mut waiting: Vec<PendingCall> = Vec::new();
     loop {
         let in_force = feed.borrow().revision;
         let Some(connection) = dialer.connect(in_force).await else {
-            if !wait_out(&mut queue, &mut waiting).await {
+            if !wait_before_retry(&mut queue, &mut waiting).await {
                 return;
             }
             continue;
@@ -163,19 +163,22 @@
         metrics::counter!("yuccahold_entry_control_connections_lost_total").increment(1);
         waiting = keep_resendable(calls);
         match lost {
-            Lost::Stopped => return,
-            Lost::NotLeader(leader) => dialer.leader = leader,
-            Lost::Broken => {}
+            ConnectionEnd::Stopped => return,
+            ConnectionEnd::NotLeader(leader) => dialer.leader = leader,
+            ConnectionEnd::Broken => {}
         }
-        if dialer.leader.is_none() && !wait_out(&mut queue, &mut waiting).await {
+        if dialer.leader.is_none() && !wait_before_retry(&mut queue, &mut waiting).await {
             return;
         }
     }
 }
 
-/// Lets time pass while calls arrive and expire; false when the link has ended.
-async fn wait_out(queue: &mut mpsc::Receiver<Pending>, waiting: &mut Vec<Pending>) -> bool {
-    let until = Instant::now() + RETRY;
+/// Waits before the next connection, accepts and expires calls; false when the link has ended.
+async fn wait_before_retry(
+    queue: &mut mpsc::Receiver<PendingCall>,
+    waiting: &mut Vec<PendingCall>,
+) -> bool {
+    let until = Instant::now() + RECONNECT_DELAY;
     loop {
         match tokio::time::timeout_at(until, queue.recv()).await {
             Ok(Some(pending)) => waiting.push(pending),
@@ -186,13 +189,13 @@
     let now = Instant::now();
     let (live, expired): (Vec<_>, Vec<_>) = waiting.drain(..).partition(|p| p.deadline > now);
     *waiting = live;
-    expired.into_iter().for_each(Pending::expire);
+    expired.into_iter().for_each(PendingCall::expire);
     true
 }
 
-fn keep_resendable(calls: Vec<Pending>) -> Vec<Pending> {
+fn keep_resendable(calls: Vec<PendingCall>) -> Vec<PendingCall> {
     let (keep, give_up): (Vec<_>, Vec<_>) =
         calls.into_iter().partition(|p| !p.sent || p.resendable());
-    give_up.into_iter().for_each(Pending::expire);
+    give_up.into_iter().for_each(PendingCall::expire);
     keep
 }
--- a/src/entry/link_connection.rs
+++ b/src/entry/link_connection.rs
@@ -1,4 +1,4 @@
-//! One connection to one control replica.
+//! A connection to a control replica.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,42 +8,42 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-use crate::entry::link::Pending;
+use crate::entry::link::PendingCall;
 use crate::error::{Error, Result, Step};
 use crate::wire::{
     Answer, Call, CallId, CellKeys, EntryHello, Feed, FrameReader, FrameWriter, FromControl,
     ToControl, dial, split_client,
 };
 
-/// Time for connecting and for the handshake together.
+/// Timeout of connecting and the handshake together.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for which sent bytes may stay unacknowledged.
+/// `TCP_USER_TIMEOUT`: how long sent bytes may stay unacknowledged.
 pub(super) const USER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time without any word after a call before the connection counts as silent.
-const SILENCE: Duration = Duration::from_millis(1500);
-/// Time between two looks at deadlines and silence.
-const SWEEP: Duration = Duration::from_millis(50);
-/// Frames read ahead.
+/// Time after a call without any frame received, after which the connection counts as dead.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Interval between checks for expired calls and a dead connection.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Frames read ahead of their handling.
 const READ_AHEAD: usize = 64;
 
 /// Why a connection ended.
-pub(super) enum Lost {
-    /// The replica does not lead.
+pub(super) enum ConnectionEnd {
+    /// The replica is not the leader; the address is the leader's, if the replica has one.
     NotLeader(Option<SocketAddr>),
-    /// It broke or went silent.
+    /// It broke or timed out.
     Broken,
     /// The link itself ended.
     Stopped,
 }
 
-/// An open connection.
+/// An open connection to a control replica.
 pub(super) struct Connection {
     peer: String,
     writer: FrameWriter,
     frames: mpsc::Receiver<FromControl>,
-    calls: HashMap<CallId, (Pending, Instant)>,
+    calls: HashMap<CallId, (PendingCall, Instant)>,
     next_id: CallId,
-    heard: Instant,
+    last_received: Instant,
 }
 
 impl Connection {
@@ -69,7 +69,7 @@
             frames,
             calls: HashMap::new(),
             next_id: 1,
-            heard: Instant::now(),
+            last_received: Instant::now(),
         })
     }
 
@@ -77,61 +77,61 @@
         &self.peer
     }
 
-    /// Carries calls until the connection ends; gives back those without an answer.
+    /// Sends calls until the connection ends; returns those without an answer.
     pub(super) async fn serve(
         mut self,
-        queue: &mut mpsc::Receiver<Pending>,
-        waiting: Vec<Pending>,
+        queue: &mut mpsc::Receiver<PendingCall>,
+        waiting: Vec<PendingCall>,
         feed: &watch::Sender<Arc<Feed>>,
-    ) -> (Lost, Vec<Pending>) {
+    ) -> (ConnectionEnd, Vec<PendingCall>) {
         for pending in waiting {
             self.queue(pending);
         }
         let lost = match self.writer.flush().await {
-            Ok(()) => self.carry(queue, feed).await,
-            Err(_) => Lost::Broken,
+            Ok(()) => self.run(queue, feed).await,
+            Err(_) => ConnectionEnd::Broken,
         };
         let calls = self.calls.into_values().map(|(pending, _)| pending);
         (lost, calls.collect())
     }
 
-    async fn carry(
+    async fn run(
         &mut self,
-        queue: &mut mpsc::Receiver<Pending>,
+        queue: &mut mpsc::Receiver<PendingCall>,
         feed: &watch::Sender<Arc<Feed>>,
-    ) -> Lost {
-        let mut sweep = tokio::time::interval(SWEEP);
+    ) -> ConnectionEnd {
+        let mut check = tokio::time::interval(CHECK_INTERVAL);
         loop {
             tokio::select! {
                 pending = queue.recv() => {
-                    let Some(pending) = pending else { return Lost::Stopped };
+                    let Some(pending) = pending else { return ConnectionEnd::Stopped };
                     self.queue(pending);
                     while let Ok(more) = queue.try_recv() {
                         self.queue(more);
                     }
                     if self.writer.flush().await.is_err() {
-                        return Lost::Broken;
+                        return ConnectionEnd::Broken;
                     }
                 }
                 frame = self.frames.recv() => {
-                    let Some(frame) = frame else { return Lost::Broken };
-                    self.heard = Instant::now();
-                    if let Some(lost) = self.take_in(frame, feed) {
+                    let Some(frame) = frame else { return ConnectionEnd::Broken };
+                    self.last_received = Instant::now();
+                    if let Some(lost) = self.handle_message(frame, feed) {
                         return lost;
                     }
                 }
-                _ = sweep.tick() => {
+                _ = check.tick() => {
                     self.expire();
                     if self.is_silent() {
                         metrics::counter!("yuccahold_entry_control_silent_total").increment(1);
-                        return Lost::Broken;
+                        return ConnectionEnd::Broken;
                     }
                 }
             }
         }
     }
 
-    fn queue(&mut self, mut pending: Pending) {
+    fn queue(&mut self, mut pending: PendingCall) {
         let id = self.next_id;
         self.next_id += 1;
         let message = ToControl::Call {
@@ -147,15 +147,19 @@
         }
     }
 
-    fn take_in(&mut self, frame: FromControl, feed: &watch::Sender<Arc<Feed>>) -> Option<Lost> {
+    fn handle_message(
+        &mut self,
+        frame: FromControl,
+        feed: &watch::Sender<Arc<Feed>>,
+    ) -> Option<ConnectionEnd> {
         match frame {
             FromControl::Answer { id, answer } => {
-                // An answer to a call given up before matches nothing and is dropped.
+                // The answer to an expired call matches no entry and is dropped.
                 let (mut pending, sent) = self.calls.remove(&id)?;
                 if let Answer::NotLeader(leader) = answer {
                     pending.sent = false;
                     self.calls.insert(id, (pending, sent));
-                    return Some(Lost::NotLeader(leader));
+                    return Some(ConnectionEnd::NotLeader(leader));
                 }
                 let _ = pending.reply.send(Ok(answer));
             }
@@ -181,11 +185,11 @@
         }
     }
 
-    /// Whether a call that is answered at once has waited too long with no word at all.
+    /// Whether a call other than a long poll has waited too long without any frame received.
     fn is_silent(&self) -> bool {
         let prompt = |call: &Call| !matches!(call, Call::PollWorker(_));
-        let waits = |(pending, sent): &(Pending, Instant)| {
-            prompt(&pending.call) && self.heard.max(*sent).elapsed() > SILENCE
+        let waits = |(pending, sent): &(PendingCall, Instant)| {
+            prompt(&pending.call) && self.last_received.max(*sent).elapsed() > SILENCE_TIMEOUT
         };
         self.calls.values().any(waits)
     }
@@ -199,8 +203,8 @@
     }
 }
 
-/// Keeps the document of an update that leaves it out because it did not change. An older
-/// revision than the one held never replaces it.
+/// Applies a feed update. An update without a document keeps the current one, which did not
+/// change; an older revision never replaces a newer one.
 fn merge(feed: &watch::Sender<Arc<Feed>>, mut update: Feed) {
     feed.send_modify(|held| {
         if update.revision < held.revision || update.document.is_none() {
--- a/src/entry/minion_client.rs
+++ b/src/entry/minion_client.rs
@@ -1,4 +1,4 @@
-//! HTTP towards minions: one try, and probes over new connections.
+//! HTTP client for minions: sends attempts, and probes over new connections.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,68 +12,71 @@
 use hyper::body::{Body, Incoming};
 use serde::Deserialize;
 
-use crate::entry::core::{Core, Start};
+use crate::entry::core::{AttemptStart, Core};
 use crate::entry::http::with_query;
-use crate::entry::minion_connection::{CONNECT_TIMEOUT, Kept, USER_TIMEOUT, Unanswered, send};
+use crate::entry::minion_connection::{
+    CONNECT_TIMEOUT, IdleConnections, SendError, USER_TIMEOUT, send,
+};
 use crate::entry::reply::{DEADLINE, EPOCH, NOT_RUN, OUTCOME, REQUEST_ID, end_to_end};
-use crate::entry::work::WholeAnswer;
+use crate::entry::work::MinionResponse;
 use crate::ids::{MinionId, ProcessId};
 use crate::routing::{AttemptEnd, SlotReport, Target};
 
-/// Time for a probe.
+/// Timeout of a probe's response headers, and again of its body.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Kept connections by minion, and the client for probes.
+
+/// Idle connections by minion, and the client for probes.
 pub(super) struct MinionClients {
     process: ProcessId,
-    kept: Mutex<HashMap<MinionId, Arc<Kept>>>,
+    idle: Mutex<HashMap<MinionId, Arc<IdleConnections>>>,
     probes: reqwest::Client,
 }
 
-/// What a minion that reports its slots says.
+/// Probe response of a minion that reports its slots.
 #[derive(Deserialize)]
 struct SlotsInUse {
     in_use: u32,
 }
 
-type End = (AttemptEnd, Option<WholeAnswer>);
+type End = (AttemptEnd, Option<MinionResponse>);
 
 impl MinionClients {
     pub(super) fn new(process: ProcessId) -> reqwest::Result<Self> {
         Ok(Self {
             process,
-            kept: Mutex::default(),
-            probes: probing_client()?,
+            idle: Mutex::default(),
+            probes: probe_client()?,
         })
     }
 
-    /// Closes the idle connections to a minion; those in use are not kept after their answer.
-    pub(super) fn forget(&self, minion: &MinionId) {
+    /// Closes the idle connections to a minion; those in use are not kept after their response.
+    pub(super) fn close_connections(&self, minion: &MinionId) {
         self.lock().remove(minion);
     }
 
-    /// Forgets minions that are no longer owned.
+    /// Closes the idle connections to all minions but those to keep.
     pub(super) fn retain(&self, keep: impl Fn(&MinionId) -> bool) {
         self.lock().retain(|id, _| keep(id));
     }
 
     /// Closes connections that were idle for too long.
     pub(super) fn close_idle(&self) {
-        self.lock().values().for_each(|kept| kept.close_idle());
+        self.lock().values().for_each(|idle| idle.close_idle());
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<MinionId, Arc<Kept>>> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<MinionId, Arc<IdleConnections>>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The kept connections that a try may use. A request that must not run twice gets a
-    /// connection of its own: on a kept one that the minion just closed, it could not be told
-    /// whether it ran.
-    fn kept(&self, minion: &MinionId, idempotent: bool) -> Option<Arc<Kept>> {
+    /// The idle connections that an attempt may use. A non-idempotent request gets a new
+    /// connection: if the minion closed an idle one just then, it would be unknown whether the
+    /// request ran.
+    fn idle(&self, minion: &MinionId, idempotent: bool) -> Option<Arc<IdleConnections>> {
         idempotent.then(|| self.lock().entry(minion.clone()).or_default().clone())
     }
 
-    /// Sends one try and reads its whole answer.
-    pub(super) async fn send(&self, core: &Arc<Core>, start: &Start) -> End {
+    /// Sends one attempt and reads its complete response.
+    pub(super) async fn send(&self, core: &Arc<Core>, start: &AttemptStart) -> End {
         let Target::Minion {
             id,
             addr,
@@ -86,24 +89,24 @@
         };
         let began = core.now();
         let left = core.left(start.until);
-        let own_id = format!("{:x}-{}", self.process, start.attempt);
-        let Some(request) = request(*addr, start, left, *epoch, &own_id) else {
+        let request_id = format!("{:x}-{}", self.process, start.attempt);
+        let Some(request) = request(*addr, start, left, *epoch, &request_id) else {
             return not_run(None, true);
         };
-        // The lease is checked again before the first byte: this process may have been paused
-        // between the decision and there, and the minion may have another owner by now.
+        // The lease is checked again before the first byte is written: this process may have been
+        // paused since the routing decision, and the minion may have another owner now.
         let (router, minion, epoch) = (core.clone(), id.clone(), *epoch);
         let check = move || router.read(|router, now| router.may_use(now, &minion, epoch));
-        let kept = self.kept(id, start.work.idempotent);
-        let sending = send(*addr, kept.as_deref(), request, Arc::new(check));
+        let idle = self.idle(id, start.work.idempotent);
+        let sending = send(*addr, idle.as_deref(), request, Arc::new(check));
         let (connection, mut response) = match tokio::time::timeout(left, sending).await {
             Err(_) => return broken(true),
-            Ok(Err(Unanswered::Unreachable)) => return not_run(None, true),
-            Ok(Err(Unanswered::Refused)) => return not_run(None, false),
-            Ok(Err(Unanswered::Broken(e))) => return broken(is_silence(&e)),
+            Ok(Err(SendError::Unreachable)) => return not_run(None, true),
+            Ok(Err(SendError::Refused)) => return not_run(None, false),
+            Ok(Err(SendError::Broken(e))) => return broken(is_timeout(&e)),
             Ok(Ok(answered)) => answered,
         };
-        if is_crossed(response.headers(), &own_id) {
+        if is_mismatched(response.headers(), &request_id) {
             metrics::counter!("yuccahold_entry_crossed_answers_total").increment(1);
             return broken(false);
         }
@@ -116,8 +119,8 @@
             Ok(None) => return broken(false),
             Ok(Some(body)) => body,
         };
-        if let Some(kept) = kept {
-            kept.put(connection);
+        if let Some(idle) = idle {
+            idle.put(connection);
         }
         if headers
             .get(OUTCOME)
@@ -125,7 +128,7 @@
         {
             return not_run(retry_after(&headers), false);
         }
-        let answer = WholeAnswer {
+        let answer = MinionResponse {
             status,
             headers: end_to_end(&headers),
             body,
@@ -137,7 +140,7 @@
         (AttemptEnd::Answered { failed }, Some(answer))
     }
 
-    /// Asks a minion over a new connection what it has in work.
+    /// Queries a minion's slots in use over a new connection; none when it is unreachable.
     pub(super) async fn probe(&self, addr: SocketAddr) -> Option<SlotReport> {
         let request = self.probes.get(format!("http://{addr}/slots")).send();
         let response = tokio::time::timeout(PROBE_TIMEOUT, request)
@@ -155,7 +158,7 @@
     }
 }
 
-fn probing_client() -> reqwest::Result<reqwest::Client> {
+fn probe_client() -> reqwest::Result<reqwest::Client> {
     reqwest::Client::builder()
         .no_proxy()
         .http1_only()
@@ -168,13 +171,13 @@
         .build()
 }
 
-/// A try's request as its minion gets it; none for a path that is no part of an address.
+/// The HTTP request of an attempt; none when the path does not form a valid URL.
 fn request(
     addr: SocketAddr,
-    start: &Start,
+    start: &AttemptStart,
     left: Duration,
     epoch: u64,
-    own_id: &str,
+    request_id: &str,
 ) -> Option<Request<Full<Bytes>>> {
     let work = &start.work;
     let url = reqwest::Url::parse(&format!("http://{addr}{}", work.path)).ok()?;
@@ -189,12 +192,12 @@
     headers.insert(HOST, HeaderValue::from_str(&addr.to_string()).ok()?);
     headers.insert(DEADLINE, HeaderValue::from(left.as_millis() as u64));
     headers.insert(EPOCH, HeaderValue::from(epoch));
-    headers.insert(REQUEST_ID, HeaderValue::from_str(own_id).ok()?);
+    headers.insert(REQUEST_ID, HeaderValue::from_str(request_id).ok()?);
     Some(request)
 }
 
-/// Reads a body of at most `limit` bytes; none when it is cut, too long, or of a length that
-/// nothing states.
+/// Reads a body of at most `limit` bytes; none when it is truncated, too long, or neither chunked
+/// nor of a declared length.
 async fn read_whole(
     response: &mut Response<Incoming>,
     is_head: bool,
@@ -206,7 +209,7 @@
         return Some(Bytes::new());
     }
     let headers = response.headers();
-    // A body that ends with the connection looks whole when it is cut.
+    // Truncation of a body that ends when the connection closes can't be detected.
     if !headers.contains_key(CONTENT_LENGTH) && !headers.contains_key(TRANSFER_ENCODING) {
         metrics::counter!("yuccahold_entry_unsized_answers_total").increment(1);
         return None;
@@ -230,12 +233,12 @@
     Some(body.freeze())
 }
 
-/// Whether the answer says that it belongs to another request.
-fn is_crossed(headers: &HeaderMap, own_id: &str) -> bool {
-    headers.get(REQUEST_ID).is_some_and(|id| id != own_id)
+/// Whether the response carries the identifier of another attempt.
+fn is_mismatched(headers: &HeaderMap, request_id: &str) -> bool {
+    headers.get(REQUEST_ID).is_some_and(|id| id != request_id)
 }
 
-/// Whether a status speaks of the minion's own failure.
+/// Whether a status indicates a failure of the minion rather than an unsupported request.
 fn is_failure(status: StatusCode) -> bool {
     let about_request = [
         StatusCode::NOT_IMPLEMENTED,
@@ -244,7 +247,7 @@
     status.is_server_error() && !about_request.contains(&status)
 }
 
-fn is_silence(error: &hyper::Error) -> bool {
+fn is_timeout(error: &hyper::Error) -> bool {
     let mut source = std::error::Error::source(error);
     while let Some(cause) = source {
         if let Some(io) = cause.downcast_ref::<std::io::Error>() {
@@ -272,13 +275,13 @@
     (end, None)
 }
 
-/// Headers of a request as a minion gets them.
+/// Headers of a caller's request that are forwarded to a minion.
 pub(super) fn for_minion(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = end_to_end(headers);
-    kept.remove(HOST);
-    kept.remove(CONTENT_LENGTH);
-    kept.remove(DEADLINE);
-    kept.remove(REQUEST_ID);
-    kept.remove(EPOCH);
-    kept
+    let mut idle = end_to_end(headers);
+    idle.remove(HOST);
+    idle.remove(CONTENT_LENGTH);
+    idle.remove(DEADLINE);
+    idle.remove(REQUEST_ID);
+    idle.remove(EPOCH);
+    idle
 }
--- a/src/entry/minion_connection.rs
+++ b/src/entry/minion_connection.rs
@@ -1,8 +1,8 @@
-//! One HTTP connection to a minion, and the kept ones.
+//! HTTP connections to minions, and the pool of idle ones.
 //!
-//! A request is checked once more when its first byte is about to be written, not when it is
-//! handed over: until then the connection may have taken its time to open, and the process may
-//! have stood still past its lease.
+//! A request is checked again right before its first byte is written, not when it is passed to the
+//! connection: opening the connection may take long, and the process may have been paused until
+//! after its lease expired.
 
 use std::io::{Error as IoError, ErrorKind, IoSlice, Result as IoResult};
 use std::net::SocketAddr;
@@ -24,60 +24,61 @@
 
 use crate::wire::dial;
 
-/// Time for opening a connection to a minion.
+/// Timeout of opening a connection to a minion.
 pub(super) const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for which sent bytes may stay unacknowledged.
+/// `TCP_USER_TIMEOUT`: how long sent bytes may stay unacknowledged.
 pub(super) const USER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time without traffic after which the system asks whether the other end is still there.
+/// Idle time before TCP keepalive probes, and the interval between them.
 const KEEPALIVE: Duration = Duration::from_secs(15);
-/// Idle time after which a connection is closed; below the usual keep-alive of servers.
+/// Idle time after which a connection is closed; below the usual keep-alive timeout of servers.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Idle connections kept to one minion.
+/// Maximum idle connections kept to one minion.
 const IDLE_PER_MINION: usize = 8;
 
-/// Says at the last moment whether a request may still be sent.
+/// Called before a request's first byte is written: whether it may still be sent.
 pub(super) type Check = Arc<dyn Fn() -> bool + Send + Sync>;
 
-/// Why a request has no answer.
-pub(super) enum Unanswered {
+/// Why a request got no response.
+pub(super) enum SendError {
     /// No connection was opened.
     Unreachable,
-    /// The check said no before any byte was written.
+    /// The check failed before any byte was written.
     Refused,
-    /// It may have reached the minion.
+    /// The connection failed, and the request may have reached the minion.
     Broken(hyper::Error),
 }
 
 /// Idle connections to one minion.
 #[derive(Default)]
-pub(super) struct Kept(Mutex<Vec<(Instant, Connection)>>);
+pub(super) struct IdleConnections(Mutex<Vec<(Instant, Connection)>>);
 
-/// One connection.
+/// An HTTP/1 connection.
 pub(super) struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    gate: Arc<Gate>,
+    write_check: Arc<WriteCheck>,
 }
 
-/// Stands before the connection's writes.
+/// The check of the current request, shared by a connection and its stream.
 #[derive(Default)]
-struct Gate {
+struct WriteCheck {
+    /// None once the first byte of the request was written.
     check: Mutex<Option<Check>>,
     refused: AtomicBool,
 }
 
-/// A connection's stream behind its gate.
-struct Gated {
+/// A connection's stream, which runs the check before it writes.
+struct CheckedStream {
     stream: TokioIo<TcpStream>,
-    gate: Arc<Gate>,
+    write_check: Arc<WriteCheck>,
 }
 
-impl Kept {
+impl IdleConnections {
     fn take(&self) -> Option<Connection> {
         let (since, connection) = lock(&self.0).pop()?;
         (since.elapsed() < IDLE_TIMEOUT).then_some(connection)
     }
 
-    /// Keeps a connection whose last answer was read whole.
+    /// Keeps a connection whose last response was read completely.
     pub(super) fn put(&self, connection: Connection) {
         let mut kept = lock(&self.0);
         if kept.len() < IDLE_PER_MINION {
@@ -85,37 +86,37 @@
         }
     }
 
-    /// Closes those that were idle for too long.
+    /// Closes connections that were idle for too long.
     pub(super) fn close_idle(&self) {
         lock(&self.0).retain(|(since, _)| since.elapsed() < IDLE_TIMEOUT);
     }
 }
 
-/// Sends a request on a kept connection, or else on a new one. A kept one may have been closed
-/// by the minion; then the request was not written, and goes on another.
+/// Sends a request on an idle connection, or else on a new one. If the minion has closed an idle
+/// one and the request was not written, it is sent on another.
 pub(super) async fn send(
     addr: SocketAddr,
-    kept: Option<&Kept>,
+    kept: Option<&IdleConnections>,
     mut request: Request<Full<Bytes>>,
     check: Check,
-) -> Result<(Connection, Response<Incoming>), Unanswered> {
-    while let Some(mut connection) = kept.and_then(Kept::take) {
+) -> Result<(Connection, Response<Incoming>), SendError> {
+    while let Some(mut connection) = kept.and_then(IdleConnections::take) {
         if connection.sender.ready().await.is_err() {
             continue;
         }
         match connection.send(request, check.clone()).await {
             Ok(response) => return Ok((connection, response)),
             Err((_, Some(unsent))) => request = unsent,
-            Err((unanswered, None)) => return Err(unanswered),
+            Err((error, None)) => return Err(error),
         }
     }
     let opened = tokio::time::timeout(CONNECT_TIMEOUT, Connection::open(addr)).await;
     let Ok(Some(mut connection)) = opened else {
-        return Err(Unanswered::Unreachable);
+        return Err(SendError::Unreachable);
     };
     match connection.send(request, check).await {
         Ok(response) => Ok((connection, response)),
-        Err((unanswered, _)) => Err(unanswered),
+        Err((error, _)) => Err(error),
     }
 }
 
@@ -127,62 +128,65 @@
             .with_time(KEEPALIVE)
             .with_interval(KEEPALIVE);
         SockRef::from(&stream).set_tcp_keepalive(&keepalive).ok()?;
-        let gate = Arc::new(Gate::default());
-        let gated = Gated {
+        let write_check = Arc::new(WriteCheck::default());
+        let checked = CheckedStream {
             stream: TokioIo::new(stream),
-            gate: gate.clone(),
+            write_check: write_check.clone(),
         };
-        let (sender, connection) = handshake(gated).await.ok()?;
+        let (sender, connection) = handshake(checked).await.ok()?;
         tokio::spawn(connection);
-        Some(Self { sender, gate })
+        Some(Self {
+            sender,
+            write_check,
+        })
     }
 
-    /// Sends one request; gives it back if no byte of it was written for another reason than the
-    /// check's.
+    /// Sends one request. Returns it with the error if no byte of it was written, unless the check
+    /// failed.
     async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
         check: Check,
-    ) -> Result<Response<Incoming>, (Unanswered, Option<Request<Full<Bytes>>>)> {
-        *lock(&self.gate.check) = Some(check);
+    ) -> Result<Response<Incoming>, (SendError, Option<Request<Full<Bytes>>>)> {
+        *lock(&self.write_check.check) = Some(check);
         let sent = self.sender.try_send_request(request).await;
         sent.map_err(|mut e| {
-            if self.gate.refused.load(Ordering::Acquire) {
-                return (Unanswered::Refused, None);
+            if self.write_check.refused.load(Ordering::Acquire) {
+                return (SendError::Refused, None);
             }
             let unsent = e.take_message();
-            (Unanswered::Broken(e.into_error()), unsent)
+            (SendError::Broken(e.into_error()), unsent)
         })
     }
 }
 
-impl Gated {
-    /// Asks the check of a request whose first byte was not written yet.
-    fn pass(&self) -> IoResult<()> {
-        let check = lock(&self.gate.check).clone();
+impl CheckedStream {
+    /// Runs the check if no byte of the request was written yet; an error if it fails.
+    fn check_before_write(&self) -> IoResult<()> {
+        let check = lock(&self.write_check.check).clone();
         if check.is_none_or(|check| check()) {
             return Ok(());
         }
-        self.gate.refused.store(true, Ordering::Release);
+        self.write_check.refused.store(true, Ordering::Release);
         Err(IoError::new(ErrorKind::ConnectionAborted, "not sent"))
     }
 
-    fn passed(&self, written: &Poll<IoResult<usize>>) {
+    fn check_done(&self, written: &Poll<IoResult<usize>>) {
         if written.is_ready() {
-            *lock(&self.gate.check) = None;
+            *lock(&self.write_check.check) = None;
         }
     }
 }
 
-impl Write for Gated {
+impl Write for CheckedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<IoResult<usize>> {
-        self.pass()?;
+        self.check_before_write()?;
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.passed(&written);
+        self.check_done(&written);
         written
     }
 
@@ -191,9 +195,9 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<IoResult<usize>> {
-        self.pass()?;
+        self.check_before_write()?;
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.passed(&written);
+        self.check_done(&written);
         written
     }
 
@@ -210,7 +214,7 @@
     }
 }
 
-impl Read for Gated {
+impl Read for CheckedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,5 +1,5 @@
-//! The traffic daemon: takes callers' HTTP, owns some minions, forwards to peers, and passes
-//! announcements, worker polls and jobs to control.
+//! The entry daemon: an HTTP proxy that routes callers' requests to the minions it owns or to
+//! peers, and forwards announcements, worker polls and jobs to the control plane.
 
 mod access;
 mod announce;
--- a/src/entry/peer_dialer.rs
+++ b/src/entry/peer_dialer.rs
@@ -1,4 +1,4 @@
-//! Connections to the other entry hosts: requests go out, answers and loads come in.
+//! Outgoing connections to peers: send forwarded requests, receive responses and load reports.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,54 +12,57 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-use crate::entry::core::{Core, Start};
+use crate::entry::core::{AttemptStart, Core};
 use crate::entry::link_connection::USER_TIMEOUT;
 use crate::entry::peer_message::{
-    AnswerHead, Outbox, PeerMessage, RequestHead, StreamId, first_piece, write_messages,
+    AnswerHead, Outbox, PeerMessage, RequestHead, StreamId, split_first_chunk, write_messages,
 };
-use crate::entry::work::WholeAnswer;
+use crate::entry::work::MinionResponse;
 use crate::error::{Error, Result, Step};
 use crate::ids::{EntryId, ProcessId};
 use crate::routing::{AttemptEnd, AttemptId, Event};
 use crate::wire::{CellKeys, FrameReader, PeerEntry, dial, split_client};
 
-/// Time for connecting and for the handshake together.
+/// Timeout of connecting and the handshake together.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time before a lost peer is dialled again.
-const REDIAL: Duration = Duration::from_millis(200);
-/// Time between two questions for a word.
-const PING: Duration = Duration::from_millis(400);
-/// Time without a word after which a connection is replaced.
-const SILENCE: Duration = Duration::from_millis(1500);
+/// Delay before reconnecting to a peer.
+const REDIAL_DELAY: Duration = Duration::from_millis(200);
+/// Interval between pings.
+const PING_INTERVAL: Duration = Duration::from_millis(400);
+/// Time without any message received after which a connection is replaced.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-type End = (AttemptEnd, Option<WholeAnswer>);
+type End = (AttemptEnd, Option<MinionResponse>);
 
-/// A forwarded request that waits for its answer.
-struct Stream {
+/// A forwarded request without a complete response yet.
+struct PendingResponse {
     end: oneshot::Sender<End>,
     /// Whether any of it may have left this process.
     sent: bool,
+    /// Head, body length and body received so far.
     answer: Option<(AnswerHead, usize, BytesMut)>,
     body_limit: usize,
 }
 
-/// One open connection.
-struct Open {
+/// An open connection to a peer.
+struct PeerConnection {
     outbox: Outbox,
-    streams: Mutex<HashMap<StreamId, Stream>>,
+    streams: Mutex<HashMap<StreamId, PendingResponse>>,
 }
 
 struct Dialed {
-    at: PeerEntry,
+    peer: PeerEntry,
     task: JoinHandle<()>,
 }
 
-/// All peers.
+/// Connections to all peers.
 pub(super) struct PeerLinks {
     entry: EntryId,
     process: ProcessId,
     keys: CellKeys,
-    open: Mutex<HashMap<EntryId, Arc<Open>>>,
+    /// Peers with an open connection.
+    open: Mutex<HashMap<EntryId, Arc<PeerConnection>>>,
+    /// The task of each peer that connects and reconnects to it.
     dialed: Mutex<HashMap<EntryId, Dialed>>,
 }
 
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Keeps one connection to each entry host alive.
+    /// Sets the peers to stay connected to; restarts connections to those that changed.
     pub(super) fn set(
         &self,
         core: &Arc<Core>,
@@ -83,20 +86,20 @@
     ) {
         let mut dialed = lock(&self.dialed);
         dialed.retain(|id, d| {
-            let keep = entries.get(id) == Some(&d.at);
+            let keep = entries.get(id) == Some(&d.peer);
             if !keep {
                 d.task.abort();
                 self.close(id);
             }
             keep
         });
-        for (id, at) in entries {
+        for (id, peer) in entries {
             if *id == self.entry || dialed.contains_key(id) {
                 continue;
             }
-            let task = runtime.spawn(keep_connected(core.clone(), id.clone(), at.peer_addr));
-            let at = at.clone();
-            dialed.insert(id.clone(), Dialed { at, task });
+            let task = runtime.spawn(keep_connected(core.clone(), id.clone(), peer.peer_addr));
+            let peer = peer.clone();
+            dialed.insert(id.clone(), Dialed { peer, task });
         }
     }
 
@@ -109,7 +112,7 @@
         ids.iter().for_each(|id| self.close(id));
     }
 
-    /// Tells the peer of a try that nobody waits for it.
+    /// Cancels an attempt at the peer that it was forwarded to.
     pub(super) fn withdraw(&self, attempt: AttemptId) {
         let open = lock(&self.open);
         let holder = open
@@ -122,26 +125,26 @@
         }
     }
 
-    /// Forwards one try and waits for its whole answer.
-    pub(super) async fn send(&self, core: &Core, peer: &EntryId, start: &Start) -> End {
+    /// Forwards one attempt to a peer and waits for its complete response.
+    pub(super) async fn send(&self, core: &Core, peer: &EntryId, start: &AttemptStart) -> End {
         let Some(open) = lock(&self.open).get(peer).cloned() else {
             return not_run(None);
         };
         let stream = start.attempt;
         let work = &start.work;
         let (tx, rx) = oneshot::channel();
-        let waiting = Stream {
+        let pending = PendingResponse {
             end: tx,
             sent: false,
             answer: None,
             body_limit: work.body_limit,
         };
-        lock(&open.streams).insert(stream, waiting);
+        lock(&open.streams).insert(stream, pending);
         let _guard = StreamGuard {
             open: &open,
             stream,
         };
-        let (first, rest) = first_piece(&work.body);
+        let (first, rest) = split_first_chunk(&work.body);
         let request = PeerMessage::Request {
             stream,
             head: RequestHead {
@@ -174,9 +177,9 @@
     }
 }
 
-/// Tells the peer when the try is given up before its answer.
+/// Cancels the request at the peer if the attempt is dropped before its response.
 struct StreamGuard<'a> {
-    open: &'a Open,
+    open: &'a PeerConnection,
     stream: StreamId,
 }
 
@@ -189,66 +192,66 @@
     }
 }
 
-impl Open {
+impl PeerConnection {
     fn mark_sent(&self, message: &PeerMessage) {
         if let PeerMessage::Request { stream, .. } = message
-            && let Some(waiting) = lock(&self.streams).get_mut(stream)
+            && let Some(pending) = lock(&self.streams).get_mut(stream)
         {
-            waiting.sent = true;
+            pending.sent = true;
         }
     }
 
-    /// Ends every stream: what never left this process did not run.
+    /// Ends every stream. A request that was never written certainly did not run.
     fn fail_all(&self) {
-        for (_, waiting) in lock(&self.streams).drain() {
-            let end = if waiting.sent {
+        for (_, pending) in lock(&self.streams).drain() {
+            let end = if pending.sent {
                 (AttemptEnd::Broken { silent: false }, None)
             } else {
                 not_run(None)
             };
-            let _ = waiting.end.send(end);
+            let _ = pending.end.send(end);
         }
     }
 
-    fn finish(&self, stream: StreamId, end: impl FnOnce(&mut Stream) -> Option<End>) {
+    fn finish(&self, stream: StreamId, end: impl FnOnce(&mut PendingResponse) -> Option<End>) {
         let mut streams = lock(&self.streams);
-        let Some(waiting) = streams.get_mut(&stream) else {
-            // The answer to a request that was given up: it has no one to go to.
+        let Some(pending) = streams.get_mut(&stream) else {
+            // Late response to an attempt that was dropped.
             metrics::counter!("yuccahold_entry_late_answers_total").increment(1);
             return;
         };
-        if let Some(end) = end(waiting)
-            && let Some(waiting) = streams.remove(&stream)
+        if let Some(end) = end(pending)
+            && let Some(pending) = streams.remove(&stream)
         {
-            let _ = waiting.end.send(end);
+            let _ = pending.end.send(end);
         }
     }
 
-    fn take_answer(&self, stream: StreamId, head: AnswerHead, len: usize, first: &Bytes) {
-        self.finish(stream, |waiting| {
-            if len > waiting.body_limit || first.len() > len {
+    fn receive_response(&self, stream: StreamId, head: AnswerHead, len: usize, first: &Bytes) {
+        self.finish(stream, |pending| {
+            if len > pending.body_limit || first.len() > len {
                 return Some((AttemptEnd::Broken { silent: false }, None));
             }
             let mut body = BytesMut::with_capacity(len);
             body.extend_from_slice(first);
-            waiting.answer = Some((head, len, body));
-            waiting.whole()
+            pending.answer = Some((head, len, body));
+            pending.take_if_complete()
         });
     }
 
-    fn take_body(&self, stream: StreamId, data: &Bytes) {
-        self.finish(stream, |waiting| {
-            let (_, _, body) = waiting.answer.as_mut()?;
+    fn receive_body(&self, stream: StreamId, data: &Bytes) {
+        self.finish(stream, |pending| {
+            let (_, _, body) = pending.answer.as_mut()?;
             body.extend_from_slice(data);
-            waiting.whole()
+            pending.take_if_complete()
         });
         let _ = self.outbox.try_send(PeerMessage::Credit { stream });
     }
 }
 
-impl Stream {
-    /// The end, once the body is complete.
-    fn whole(&mut self) -> Option<End> {
+impl PendingResponse {
+    /// The result, once the body is complete.
+    fn take_if_complete(&mut self) -> Option<End> {
         let (_, len, body) = self.answer.as_ref()?;
         if body.len() < *len {
             return None;
@@ -258,7 +261,7 @@
         let (Some(status), true) = (status, body.len() == len) else {
             return Some((AttemptEnd::Broken { silent: false }, None));
         };
-        let answer = WholeAnswer {
+        let answer = MinionResponse {
             status,
             headers: head.headers.into(),
             body: body.freeze(),
@@ -276,7 +279,7 @@
         let _ = connection(&core, &peer, addr).await;
         core.peers.close(&peer);
         core.handle(Event::PeerLost(peer.clone()));
-        tokio::time::sleep(REDIAL).await;
+        tokio::time::sleep(REDIAL_DELAY).await;
     }
 }
 
@@ -292,16 +295,16 @@
         process: links.process,
     };
     outbox.try_send(hello);
-    let open = Arc::new(Open {
+    let open = Arc::new(PeerConnection {
         outbox,
         streams: Mutex::default(),
     });
     lock(&links.open).insert(peer.clone(), open.clone());
-    let heard = Mutex::new(Instant::now());
+    let last_received = Mutex::new(Instant::now());
     tokio::select! {
         written = write_messages(writer, rx, |message| open.mark_sent(message)) => written,
-        read = read_messages(core, peer, &open, &mut reader, &heard) => read,
-        () = watch_silence(&open, &heard) => {
+        read = read_messages(core, peer, &open, &mut reader, &last_received) => read,
+        () = wait_for_silence(&open, &last_received) => {
             metrics::counter!("yuccahold_entry_peer_silent_total").increment(1);
             Err(Error::new(Step::Transfer, "the connection went silent").with_peer(addr))
         }
@@ -311,12 +314,12 @@
 async fn read_messages(
     core: &Arc<Core>,
     peer: &EntryId,
-    open: &Open,
+    open: &PeerConnection,
     reader: &mut FrameReader,
-    heard: &Mutex<Instant>,
+    last_received: &Mutex<Instant>,
 ) -> Result<()> {
     while let Some(message) = reader.read().await? {
-        *lock(heard) = Instant::now();
+        *lock(last_received) = Instant::now();
         match message {
             PeerMessage::Load(services) => {
                 let peer = peer.clone();
@@ -327,8 +330,8 @@
                 head,
                 body_len,
                 first,
-            } => open.take_answer(stream, head, body_len as usize, &first),
-            PeerMessage::Body { stream, data } => open.take_body(stream, &data),
+            } => open.receive_response(stream, head, body_len as usize, &first),
+            PeerMessage::Body { stream, data } => open.receive_body(stream, &data),
             PeerMessage::Credit { stream } => open.outbox.credit(stream),
             PeerMessage::NotRun {
                 stream,
@@ -345,12 +348,12 @@
     Ok(())
 }
 
-/// Returns when nothing was heard for too long although asked.
-async fn watch_silence(open: &Open, heard: &Mutex<Instant>) {
-    let mut ping = tokio::time::interval(PING);
+/// Sends pings, and returns when nothing was received for too long.
+async fn wait_for_silence(open: &PeerConnection, last_received: &Mutex<Instant>) {
+    let mut ping = tokio::time::interval(PING_INTERVAL);
     loop {
         ping.tick().await;
-        if lock(heard).elapsed() > SILENCE {
+        if lock(last_received).elapsed() > SILENCE_TIMEOUT {
             return;
         }
         let _ = open.outbox.try_send(PeerMessage::Ping);
--- a/src/entry/peer_message.rs
+++ b/src/entry/peer_message.rs
@@ -1,8 +1,8 @@
-//! What entry hosts say to each other, and the sending side of one connection.
+//! Messages between entry hosts, and the sending side of a connection.
 //!
-//! The host that dials sends requests; the other answers them by stream number and reports its
-//! load. Bodies over one chunk follow in pieces under credit, so that a large one neither fills
-//! the connection nor holds up the small ones.
+//! The entry host that connects sends requests; the other one answers them by stream number and
+//! reports its load. Bodies larger than one chunk follow in chunks with credit-based flow control,
+//! so that a large body neither fills the connection nor delays small messages.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,53 +20,64 @@
 use crate::routing::ServiceLoad;
 use crate::wire::FrameWriter;
 
-/// Number of a forwarded request on one connection.
+/// Identifies a forwarded request on a connection; the attempt's number at the sender.
 pub(super) type StreamId = u64;
 
-/// Largest piece of a body in one message.
+/// Maximum bytes of a body in one message.
 pub(super) const CHUNK: usize = 64 * 1024;
-/// Pieces of one body that may be on the way.
-const WINDOW: usize = 4;
-/// Messages that may wait for the connection.
-const OUTBOX: usize = 1024;
+/// Chunks of one body that may be sent without further credit.
+const CREDIT_WINDOW: usize = 4;
+/// Maximum messages queued for the connection.
+const MAX_QUEUED_MESSAGES: usize = 1024;
 
-/// One message, in either direction.
+/// A message in either direction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum PeerMessage {
-    /// First message of the host that dials.
-    Hello { entry: EntryId, process: ProcessId },
-    /// Load of the host that answers.
+    /// First message of the entry host that connects.
+    Hello {
+        entry: EntryId,
+        process: ProcessId,
+    },
+    /// Load of the entry host that accepted the connection.
     Load(Vec<ServiceLoad>),
-    /// A request with the first piece of its body.
+    /// A request with the first chunk of its body.
     Request {
         stream: StreamId,
         head: RequestHead,
         body_len: u32,
         first: Bytes,
     },
-    /// A further piece of a request's or answer's body.
-    Body { stream: StreamId, data: Bytes },
-    /// Room for one more piece.
-    Credit { stream: StreamId },
-    /// Nobody waits for this request any more.
-    Cancel { stream: StreamId },
-    /// A whole answer with the first piece of its body.
+    /// A further chunk of a request's or response's body.
+    Body {
+        stream: StreamId,
+        data: Bytes,
+    },
+    /// Permission to send one more chunk.
+    Credit {
+        stream: StreamId,
+    },
+    /// The request is cancelled: its result is no longer needed.
+    Cancel {
+        stream: StreamId,
+    },
+    /// A response with the first chunk of its body.
     Answer {
         stream: StreamId,
         head: AnswerHead,
         body_len: u32,
         first: Bytes,
     },
-    /// Proved that nothing ran.
+    /// The request certainly did not run.
     NotRun {
         stream: StreamId,
         retry_after: Duration,
     },
-    /// It may have run.
-    Unknown { stream: StreamId },
-    /// Asks for any word.
+    /// The request may have run.
+    Unknown {
+        stream: StreamId,
+    },
+    /// Requests a [`PeerMessage::Pong`], to detect a dead connection.
     Ping,
-    /// A word.
     Pong,
 }
 
@@ -77,14 +88,14 @@
     pub(super) team: TeamName,
     pub(super) priority: QueuePriority,
     pub(super) idempotent: bool,
-    /// Time left; clocks of two hosts are never compared.
+    /// Time left to the deadline; a duration, because clocks of two hosts are never compared.
     pub(super) left: Duration,
     pub(super) method: CompactString,
     pub(super) path: String,
     pub(super) headers: Headers,
 }
 
-/// A whole answer without its body.
+/// A response without its body.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct AnswerHead {
     pub(super) status: u16,
@@ -94,7 +105,7 @@
     pub(super) service_time: Duration,
 }
 
-/// Headers as sent to a peer.
+/// HTTP headers in serializable form.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Headers(Vec<(CompactString, Bytes)>);
 
@@ -122,15 +133,16 @@
     }
 }
 
-/// Sending side of one connection.
+/// Sending side of a connection.
 pub(super) struct Outbox {
     tx: mpsc::Sender<PeerMessage>,
+    /// One permit for each chunk that may be sent, by stream with a body in transfer.
     credits: Mutex<HashMap<StreamId, Arc<Semaphore>>>,
 }
 
 impl Outbox {
     pub(super) fn new() -> (Self, mpsc::Receiver<PeerMessage>) {
-        let (tx, rx) = mpsc::channel(OUTBOX);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let outbox = Self {
             tx,
             credits: Mutex::default(),
@@ -138,23 +150,23 @@
         (outbox, rx)
     }
 
-    /// Queues a message; false when the connection is gone.
+    /// Queues a message, waiting for room; false when the connection has ended.
     pub(super) async fn send(&self, message: PeerMessage) -> bool {
         self.tx.send(message).await.is_ok()
     }
 
-    /// Queues a message if there is room at once.
+    /// Queues a message; false when the queue is full or the connection has ended.
     pub(super) fn try_send(&self, message: PeerMessage) -> bool {
         self.tx.try_send(message).is_ok()
     }
 
-    /// Sends what follows the first piece, as the other side gives credit.
+    /// Sends the body after its first chunk, as the receiver grants credit.
     pub(super) async fn send_rest(&self, stream: StreamId, mut rest: Bytes) {
         if rest.is_empty() {
             return;
         }
-        let credit = Arc::new(Semaphore::new(WINDOW));
-        let _open = OpenStream::new(self, stream, credit.clone());
+        let credit = Arc::new(Semaphore::new(CREDIT_WINDOW));
+        let _open = CreditGuard::new(self, stream, credit.clone());
         while !rest.is_empty() {
             let Ok(permit) = credit.acquire().await else {
                 return;
@@ -178,32 +190,32 @@
     }
 }
 
-/// Forgets a stream's credit when its sender ends or is dropped.
-struct OpenStream<'a> {
+/// Removes a stream's credit when its sender ends or is dropped.
+struct CreditGuard<'a> {
     outbox: &'a Outbox,
     stream: StreamId,
 }
 
-impl<'a> OpenStream<'a> {
+impl<'a> CreditGuard<'a> {
     fn new(outbox: &'a Outbox, stream: StreamId, credit: Arc<Semaphore>) -> Self {
         outbox.credits().insert(stream, credit);
         Self { outbox, stream }
     }
 }
 
-impl Drop for OpenStream<'_> {
+impl Drop for CreditGuard<'_> {
     fn drop(&mut self) {
         self.outbox.credits().remove(&self.stream);
     }
 }
 
-/// Splits off the piece that travels with the head.
-pub(super) fn first_piece(body: &Bytes) -> (Bytes, Bytes) {
+/// Splits a body into the chunk that is sent with the head, and the rest.
+pub(super) fn split_first_chunk(body: &Bytes) -> (Bytes, Bytes) {
     let cut = body.len().min(CHUNK);
     (body.slice(..cut), body.slice(cut..))
 }
 
-/// Writes queued messages, many at a time. `sent` sees each before it can leave.
+/// Writes queued messages in batches. `sent` is called with each before any of it is written.
 pub(super) async fn write_messages(
     mut writer: FrameWriter,
     mut rx: mpsc::Receiver<PeerMessage>,
--- a/src/entry/peer_server.rs
+++ b/src/entry/peer_server.rs
@@ -1,4 +1,4 @@
-//! Connections from the other entry hosts: requests come in, answers and loads go out.
+//! Incoming connections from peers: receive forwarded requests, send responses and load reports.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -11,39 +11,40 @@
 
 use crate::entry::core::Core;
 use crate::entry::peer_message::{
-    AnswerHead, Outbox, PeerMessage, RequestHead, StreamId, first_piece, write_messages,
+    AnswerHead, Outbox, PeerMessage, RequestHead, StreamId, split_first_chunk, write_messages,
 };
-use crate::entry::work::{Ended, Verdict, WholeAnswer, Work};
+use crate::entry::work::{CompletedRequest, MinionResponse, RequestResult, ServiceRequest};
 use crate::error::{Error, Result, Step};
 use crate::ids::EntryId;
 use crate::routing::{Event, Origin, RequestId, RouteError};
 use crate::wire::{CellKeys, FrameReader, accept};
 
-/// Time for the handshake.
-const HANDSHAKE: Duration = Duration::from_secs(2);
-/// Time without a word after which a connection is closed.
-const SILENCE: Duration = Duration::from_secs(4);
-/// Shortest time between two reports of load on one connection.
-const LOAD_GAP: Duration = Duration::from_millis(2);
-/// Longest time between two reports of load.
-const LOAD_PERIOD: Duration = Duration::from_millis(250);
-/// Requests that one peer may have here at once.
+/// Timeout of the handshake, and again of the first message.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time without any message received after which a connection is closed.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Minimum interval between load reports on one connection.
+const MIN_LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(2);
+/// Maximum time without a load report, besides the minimum interval.
+const MAX_LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum concurrent requests on one connection.
 const MAX_STREAMS: usize = 4096;
 
 /// A request whose body is still arriving.
-struct Partial {
+struct PartialRequest {
     head: RequestHead,
     len: usize,
     body: BytesMut,
 }
 
-/// One connection.
+/// A connection from a peer.
 struct Connection {
     core: Arc<Core>,
     peer: EntryId,
     outbox: Outbox,
-    partial: Mutex<HashMap<StreamId, Partial>>,
-    live: Mutex<HashMap<StreamId, RequestId>>,
+    partial: Mutex<HashMap<StreamId, PartialRequest>>,
+    /// Requests submitted to the router.
+    active: Mutex<HashMap<StreamId, RequestId>>,
 }
 
 /// Accepts peers until the listener is dropped.
@@ -55,7 +56,7 @@
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of file descriptors: accepting again at once would spin.
+            // Probably out of file descriptors; retrying immediately would be a busy loop.
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
@@ -73,10 +74,10 @@
     load: watch::Receiver<u64>,
 ) -> Result<()> {
     let late = |_| Error::new(Step::Handshake, "no proof in time");
-    let (mut reader, writer) = tokio::time::timeout(HANDSHAKE, accept(stream, &keys))
+    let (mut reader, writer) = tokio::time::timeout(HANDSHAKE_TIMEOUT, accept(stream, &keys))
         .await
         .map_err(late)??;
-    let hello = tokio::time::timeout(HANDSHAKE, reader.read())
+    let hello = tokio::time::timeout(HANDSHAKE_TIMEOUT, reader.read())
         .await
         .map_err(late)??;
     let Some(PeerMessage::Hello { entry, .. }) = hello else {
@@ -88,7 +89,7 @@
         peer: entry,
         outbox,
         partial: Mutex::default(),
-        live: Mutex::default(),
+        active: Mutex::default(),
     });
     let ended = tokio::select! {
         written = write_messages(writer, rx, |_| {}) => written,
@@ -103,15 +104,15 @@
     async fn read(self: &Arc<Self>, reader: &mut FrameReader) -> Result<()> {
         let silent = |_| Error::new(Step::Transfer, "the connection went silent");
         loop {
-            let message = tokio::time::timeout(SILENCE, reader.read()).await;
+            let message = tokio::time::timeout(SILENCE_TIMEOUT, reader.read()).await;
             let Some(message) = message.map_err(silent)?? else {
                 return Ok(());
             };
-            self.take_in(message);
+            self.handle_message(message);
         }
     }
 
-    fn take_in(self: &Arc<Self>, message: PeerMessage) {
+    fn handle_message(self: &Arc<Self>, message: PeerMessage) {
         match message {
             PeerMessage::Request {
                 stream,
@@ -129,13 +130,13 @@
 
     fn request(self: &Arc<Self>, stream: StreamId, head: RequestHead, len: usize, first: &Bytes) {
         let limit = self.body_limit(&head);
-        let full = lock(&self.partial).len() + lock(&self.live).len() >= MAX_STREAMS;
+        let full = lock(&self.partial).len() + lock(&self.active).len() >= MAX_STREAMS;
         if full || len > limit || first.len() > len {
             return self.refuse(stream);
         }
         let mut body = BytesMut::with_capacity(len);
         body.extend_from_slice(first);
-        let partial = Partial { head, len, body };
+        let partial = PartialRequest { head, len, body };
         if partial.body.len() == partial.len {
             return self.begin(stream, partial);
         }
@@ -173,15 +174,15 @@
         });
     }
 
-    fn begin(self: &Arc<Self>, stream: StreamId, partial: Partial) {
-        let Partial { head, len, body } = partial;
+    fn begin(self: &Arc<Self>, stream: StreamId, partial: PartialRequest) {
+        let PartialRequest { head, len, body } = partial;
         let Ok(method) = Method::from_bytes(head.method.as_bytes()) else {
             return self.refuse(stream);
         };
         if body.len() != len {
             return self.refuse(stream);
         }
-        let work = Work {
+        let work = ServiceRequest {
             body_limit: self.body_limit(&head),
             service: head.service,
             team: head.team,
@@ -194,34 +195,34 @@
             body: body.freeze(),
         };
         let origin = Origin::Peer(self.peer.clone());
-        let (id, verdict) = self.core.submit(Arc::new(work), origin);
-        lock(&self.live).insert(stream, id);
+        let (id, result) = self.core.submit(Arc::new(work), origin);
+        lock(&self.active).insert(stream, id);
         let connection = self.clone();
         tokio::spawn(async move {
-            let ended = verdict.await.unwrap_or_else(|_| Ended::lost());
-            lock(&connection.live).remove(&stream);
-            connection.answer(stream, ended.verdict).await;
+            let ended = result.await.unwrap_or_else(|_| CompletedRequest::dropped());
+            lock(&connection.active).remove(&stream);
+            connection.answer(stream, ended.result).await;
         });
     }
 
-    async fn answer(&self, stream: StreamId, verdict: Verdict) {
-        match verdict {
-            Verdict::Answer(answer) => self.send_answer(stream, answer).await,
-            Verdict::Failed(RouteError::NotRun { retry_after, .. }) => {
+    async fn answer(&self, stream: StreamId, result: RequestResult) {
+        match result {
+            RequestResult::Response(answer) => self.send_answer(stream, answer).await,
+            RequestResult::Failed(RouteError::NotRun { retry_after, .. }) => {
                 let not_run = PeerMessage::NotRun {
                     stream,
                     retry_after,
                 };
                 self.outbox.send(not_run).await;
             }
-            Verdict::Failed(RouteError::Unknown { .. }) => {
+            RequestResult::Failed(RouteError::Unknown { .. }) => {
                 self.outbox.send(PeerMessage::Unknown { stream }).await;
             }
         }
     }
 
-    async fn send_answer(&self, stream: StreamId, answer: WholeAnswer) {
-        let (first, rest) = first_piece(&answer.body);
+    async fn send_answer(&self, stream: StreamId, answer: MinionResponse) {
+        let (first, rest) = split_first_chunk(&answer.body);
         let head = AnswerHead {
             status: answer.status.as_u16(),
             headers: (&answer.headers).into(),
@@ -243,27 +244,29 @@
 
     fn cancel(&self, stream: StreamId) {
         lock(&self.partial).remove(&stream);
-        let id = lock(&self.live).get(&stream).copied();
+        let id = lock(&self.active).get(&stream).copied();
         if let Some(id) = id {
             self.core.handle(Event::Cancelled(id));
         }
     }
 
     fn cancel_all(&self) {
-        let ids: Vec<_> = lock(&self.live).drain().map(|(_, id)| id).collect();
+        let ids: Vec<_> = lock(&self.active).drain().map(|(_, id)| id).collect();
         ids.into_iter()
             .for_each(|id| self.core.handle(Event::Cancelled(id)));
     }
 
-    /// Reports the load at each change, not too often, and now and then without one.
+    /// Reports the load after each change, rate-limited, and periodically without a change.
     async fn report_load(&self, mut changed: watch::Receiver<u64>) {
         loop {
             let load = self.core.read(|router, now| router.load(now));
             if !self.outbox.send(PeerMessage::Load(load)).await {
                 return;
             }
-            tokio::time::sleep(LOAD_GAP).await;
-            if let Ok(Err(_)) = tokio::time::timeout(LOAD_PERIOD, changed.changed()).await {
+            tokio::time::sleep(MIN_LOAD_REPORT_INTERVAL).await;
+            if let Ok(Err(_)) =
+                tokio::time::timeout(MAX_LOAD_REPORT_INTERVAL, changed.changed()).await
+            {
                 return;
             }
         }
--- a/src/entry/reply.rs
+++ b/src/entry/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: status, outcome, and when to come back.
+//! HTTP replies of this entry host: status, outcome and retry-after headers.
 
 use std::time::Duration;
 
@@ -13,38 +13,38 @@
 use crate::routing::RouteError;
 use crate::wire::{Refusal, RefusalKind};
 
-/// States what became of a request: `done`, `not-run` or `unknown`.
+/// Response header with the outcome: `done`, `not-run` or `unknown`.
 pub(super) const OUTCOME: &str = "yuccahold-outcome";
-/// Milliseconds the caller waits for the answer; also what a minion is told is left.
+/// Milliseconds until the deadline; set by the caller, and on requests to minions to the time left.
 pub(super) const DEADLINE: &str = "yuccahold-deadline-ms";
-/// Whether this request may run twice, against the service's rule.
+/// `true` or `false`: whether the request may run twice; overrides the service's setting.
 pub(super) const IDEMPOTENT: &str = "yuccahold-idempotent";
-/// Key under which a resend gets the first answer.
+/// Idempotency key: a resend with the same key gets the first response.
 pub(super) const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Number of a try; a minion that sends it back lets crossed answers be found.
+/// Identifies an attempt. If a minion returns it, responses to other requests are detected.
 pub(super) const REQUEST_ID: &str = "yuccahold-request-id";
-/// Number of the ownership under which a minion is used; a minion may refuse an older one.
+/// Ownership epoch of the minion; a minion may refuse an older one than it has seen.
 pub(super) const EPOCH: &str = "yuccahold-epoch";
-/// When to come back, in milliseconds; finer than `Retry-After`.
+/// Retry-after time in milliseconds; finer than `Retry-After`.
 pub(super) const RETRY_AFTER_MS: &str = "yuccahold-retry-after-ms";
-/// Minion that answered.
+/// Response header with the name of the minion that handled the request.
 pub(super) const MINION: &str = "yuccahold-minion";
-/// Value of [`OUTCOME`] for work that did not run.
+/// Value of [`OUTCOME`] for a request that did not run.
 pub(super) const NOT_RUN: &str = "not-run";
 
-/// What became of a request.
+/// Outcome of a request, as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// It ran, and this is its answer.
+    /// The request ran, and its response is delivered.
     Done,
-    /// Proved that nothing ran.
+    /// The request certainly did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 impl Outcome {
-    /// The word on the wire.
+    /// Value of the `yuccahold-outcome` header.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -54,10 +54,10 @@
     }
 }
 
-/// The kind of answer every handler gives.
+/// HTTP response type of all handlers.
 pub(super) type Reply = Response<Bytes>;
 
-/// Body of an answer that is not a minion's.
+/// JSON body of a reply with a reason.
 #[derive(Serialize)]
 struct Explained<'a> {
     outcome: &'a str,
@@ -66,7 +66,7 @@
     retry_after_ms: Option<u64>,
 }
 
-/// An answer of this entry host's own, explained.
+/// A reply with a reason as JSON body.
 pub(super) fn explained(
     status: StatusCode,
     outcome: Outcome,
@@ -85,12 +85,12 @@
     reply
 }
 
-/// A refusal of a request that makes no sense: nothing ran.
+/// Refusal of an invalid request, which did not run.
 pub(super) fn invalid(status: StatusCode, reason: impl AsRef<str>) -> Reply {
     explained(status, Outcome::NotRun, reason, None)
 }
 
-/// A JSON answer.
+/// A reply with a JSON body.
 pub(super) fn json(status: StatusCode, outcome: Outcome, body: &impl Serialize) -> Reply {
     let body = serde_json::to_vec(body).unwrap_or_default();
     let mut reply = Response::new(Bytes::from(body));
@@ -106,7 +106,7 @@
 }
 
 fn set_retry_after(headers: &mut HeaderMap, after: Duration) {
-    // Whole seconds, rounded up: a caller that knows only this header never comes too early.
+    // Rounded up to seconds, so that a caller that reads only this header never retries too early.
     let seconds = after.as_millis().div_ceil(1000).max(1);
     headers.insert(RETRY_AFTER, number(seconds));
     headers.insert(RETRY_AFTER_MS, number(after.as_millis()));
@@ -116,7 +116,7 @@
     HeaderValue::from(u64::try_from(n).unwrap_or(u64::MAX))
 }
 
-/// The answer for a request that got none from a minion. It is sent at once.
+/// The reply to a request that failed without a response from a minion.
 pub(super) fn route_error(error: &RouteError) -> Reply {
     match error {
         RouteError::NotRun {
@@ -143,7 +143,7 @@
     }
 }
 
-/// The answer for a call that control refused.
+/// The reply to a call that the control plane refused.
 pub(super) fn refusal(refusal: &Refusal) -> Reply {
     let status = match refusal.kind {
         RefusalKind::NotFound => StatusCode::NOT_FOUND,
@@ -160,7 +160,7 @@
     )
 }
 
-/// Headers without those that speak of one connection only.
+/// Headers without hop-by-hop ones, including those that `Connection` names.
 pub(super) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     const HOP: [HeaderName; 7] = [
         CONNECTION,
--- a/src/entry/work.rs
+++ b/src/entry/work.rs
@@ -1,4 +1,4 @@
-//! A request's content and the answer or failure that ends it.
+//! A request to a service, and the response or error that completes it.
 
 use std::time::Duration;
 
@@ -10,64 +10,64 @@
 use crate::ids::{MinionId, ServiceName, TeamName, Timestamp, ZoneName};
 use crate::routing::RouteError;
 
-/// A whole request, held until its verdict.
+/// A complete request, kept in memory until its result because it may have to be resent.
 #[derive(Clone, Debug)]
-pub(super) struct Work {
+pub(super) struct ServiceRequest {
     pub(super) service: ServiceName,
     pub(super) team: TeamName,
     pub(super) priority: QueuePriority,
     pub(super) idempotent: bool,
+    /// On the clock of [`Core::now`](crate::entry::core::Core::now).
     pub(super) deadline: Timestamp,
+    /// Largest response body in bytes.
     pub(super) body_limit: usize,
     pub(super) method: Method,
-    /// Path and query as the minion sees them.
+    /// Path and query as sent to the minion, without the route's prefix.
     pub(super) path: String,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
 }
 
-/// A whole answer.
+/// A complete response of a minion.
 #[derive(Clone, Debug)]
-pub(super) struct WholeAnswer {
+pub(super) struct MinionResponse {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
     pub(super) minion: MinionId,
     pub(super) zone: ZoneName,
-    /// Time from the start of the try to the whole answer, as measured by the minion's owner.
+    /// Time from the start of the attempt to the complete response, measured by the minion's owner.
     pub(super) service_time: Duration,
 }
 
-/// What ends a request.
+/// Final result of a request.
 #[derive(Clone, Debug)]
-pub(super) enum Verdict {
-    /// An answer of a minion.
-    Answer(WholeAnswer),
-    /// None.
+pub(super) enum RequestResult {
+    Response(MinionResponse),
     Failed(RouteError),
 }
 
-/// A verdict with what the access line tells.
+/// Result of a request, with what the access log needs.
 #[derive(Clone, Debug)]
-pub(super) struct Ended {
-    pub(super) verdict: Verdict,
-    /// Tries started for it.
+pub(super) struct CompletedRequest {
+    pub(super) result: RequestResult,
+    /// Attempts started for the request.
     pub(super) attempts: u32,
 }
 
-impl Ended {
-    /// For work that this process dropped without an end of its own.
-    pub(super) fn lost() -> Self {
+impl CompletedRequest {
+    /// For a request whose task ended without a result, for instance by a panic.
+    pub(super) fn dropped() -> Self {
         Self {
-            verdict: Verdict::lost(),
+            result: RequestResult::dropped(),
             attempts: 0,
         }
     }
 }
 
-impl Verdict {
-    /// A verdict for work that this process dropped without an end of its own.
-    pub(super) fn lost() -> Self {
+impl RequestResult {
+    /// For a request whose task ended without a result: it may have run.
+    pub(super) fn dropped() -> Self {
         Self::Failed(RouteError::Unknown {
             reason: CompactString::const_new("the entry host dropped the request"),
             late: false,
