--- a/tests/entry.rs
+++ b/tests/entry.rs
@@ -1,4 +1,4 @@
-//! Entry hosts with fake minions and a fake control, over real connections in one process.
+//! Entry hosts with fake minions and a fake control plane, over real connections in one process.
 
 #[allow(dead_code, reason = "each test file uses a part")]
 mod support;
@@ -11,8 +11,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_is_answered_through_any_entry_host() {
-    // Two entry hosts own one minion each; requests at either are answered whole, with their own
-    // key, and each ran once.
+    // Two entry hosts own one minion each. A request to either gets a complete response with its
+    // own key and runs once.
     let cell = Cell::start(document(), 2, 2).await;
     for n in 0..20 {
         let reply = cell.ask(n % 2, format!("work-{n}")).await;
@@ -28,8 +28,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn more_requests_than_slots_never_overfill_a_minion() {
-    // Sixty callers ask two entry hosts at once for the sixteen slots of two minions. The rest
-    // waits in the queues; all are answered.
+    // Sixty concurrent requests at two entry hosts compete for the sixteen slots of two minions.
+    // The others wait in the queues, and all are answered.
     let cell = Cell::start(document(), 2, 2).await;
     let asks = (0..60).map(|n| {
         let cell = &cell;
@@ -75,8 +75,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn jobs_are_passed_to_control() {
-    // A submission, its resend under the same key, a question and a cancellation, through two
-    // entry hosts.
+    // A submission, its resend with the same key, a query and a cancellation through two entry
+    // hosts.
     let cell = Cell::start(document(), 2, 1).await;
     let submit = |entry| {
         let request = cell.client.post(cell.url(entry, "/v1/jobs"));
@@ -109,9 +109,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_same_key_at_two_entry_hosts_runs_once() {
-    // A caller resends under one key to the other entry host while the first request runs. The
-    // second is told to ask again; once the first has ended, it gets the first one's answer, and
-    // another request under the key is refused.
+    // A caller resends a request with the same key to the other entry host while the first one
+    // runs. It gets 409 with a retry-after time, and after the first has ended the response of
+    // the first. A different request with the key is refused.
     let cell = Cell::start(document(), 2, 2).await;
     let slow = MinionBehaviour {
         service_time: Duration::from_millis(300),
@@ -128,7 +128,10 @@
             .send()
     };
     let (first, second) = tokio::join!(send(0, "5"), async {
-        until("the first runs", || async { !cell.check().is_empty() }).await;
+        until("the first request runs", || async {
+            !cell.check().is_empty()
+        })
+        .await;
         send(1, "5").await.unwrap()
     });
     let first = first.unwrap();
@@ -148,18 +151,18 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_minion_gets_nothing_new_and_a_dead_owner_is_replaced() {
-    // A minion says that it leaves: requests go to the other one only. Then that one's owner
-    // dies; after its lease the other entry host takes the minion over and goes on.
+    // A minion announces that it leaves, so requests must go to the other one only. Then the owner
+    // of that one dies; after its lease the other entry host takes the minion over.
     let mut cell = Cell::start(document(), 2, 2).await;
     let owner_of = |cell: &Cell, id: &str| cell.control.feed().minions[id].owner.clone();
     let leaving = cell.minions.remove(0).leave().await;
     let gone = || async { cell.control.feed().minions["minion-0"].leaving };
-    until("control knows", gone).await;
+    until("the minion is leaving in the feed", gone).await;
     let owner = owner_of(&cell, "minion-1").unwrap();
     let dies = usize::from(owner == "entry-1");
     cell.minions.insert(0, leaving);
     let before = cell.minions[0].counts().begun;
-    until("the owner knows", || async {
+    until("the owner uses the other minion", || async {
         let reply = cell.ask(1 - dies, "while-leaving").await;
         reply.status() == 200 && cell.minions[1].counts().begun > 0
     })
@@ -180,8 +183,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_loses_nothing() {
-    // An entry host stops while requests are in flight at it and at its minions. Those end with
-    // their answers, its minions move to the other, and no request fails.
+    // An entry host shuts down while requests are in flight to it and to its minions. They must
+    // still be answered, and its minions are handed over to the other entry host.
     let mut cell = Cell::start(document(), 2, 2).await;
     let stopped = cell.entries.remove(0);
     let url = format!("http://{}/v1/services/desk/", stopped.http_addr);
@@ -206,8 +209,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn two_cells_share_no_address() {
-    // An entry host of one cell dies and gives its port back, while its minions still announce
-    // themselves there. A minion of another cell that got the port would count that as work.
+    // Minions keep announcing themselves to the port of a dead entry host. A minion of another
+    // test cell that got this port would count the announcements as requests.
     let one = Cell::start(document(), 1, 1).await;
     let other = Cell::start(document(), 1, 1).await;
     let minion = other.minions[0].addr();
--- a/tests/entry_faults.rs
+++ b/tests/entry_faults.rs
@@ -1,5 +1,5 @@
-//! Connections that go silent, answers that are cut or crossed, between an entry host and its
-//! minions, peers and control.
+//! Dead connections, truncated and mismatched responses between an entry host and its minions,
+//! peers and the control plane.
 
 #[allow(dead_code, reason = "each test file uses a part")]
 mod support;
@@ -14,12 +14,12 @@
 use yuccahold::fault::{Direction, Fault, TcpProxy};
 use yuccahold::stand_in::MinionBehaviour;
 
-/// Time for which threads stand still: longer than the lease of 1 s, and than the second after
-/// which the system asks again for a connection that found a full queue.
+/// How long threads are blocked: longer than the lease of 1 s, and than the second after which the
+/// kernel retransmits a SYN that found a full accept queue.
 const STALL: Duration = Duration::from_secs(2);
 
 /// One entry host with one minion behind a proxy.
-async fn behind_proxy(behaviour: MinionBehaviour) -> (Cell, TcpProxy) {
+async fn start_behind_proxy(behaviour: MinionBehaviour) -> (Cell, TcpProxy) {
     let mut cell = Cell::start(document(), 1, 0).await;
     let proxy = TcpProxy::start(None, 1).await.unwrap();
     cell.add_minion_at("minion-0", behaviour, Some(proxy.addr()))
@@ -31,10 +31,10 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_connections_to_a_minion_are_replaced() {
-    // Something between forgets the kept connections; new ones work. Requests sent into the
-    // silence get no answer on them, are tried again over new connections within their deadline,
-    // and the minion, which answers its probe, stays in use.
-    let (cell, proxy) = behind_proxy(MinionBehaviour::default()).await;
+    // A middlebox drops the packets of the idle connections; new ones work. Requests sent on the
+    // dead connections must be retried over new ones within their deadline, and the minion, which
+    // answers its probe, stays in use.
+    let (cell, proxy) = start_behind_proxy(MinionBehaviour::default()).await;
     let warm = (0..4).map(|n| cell.ask(0, format!("warm-{n}")));
     futures::future::join_all(warm).await;
     proxy.apply(Fault::SilenceOpen);
@@ -54,13 +54,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_answer_is_never_delivered() {
-    // The connection ends in the middle of an answer's body. An idempotent request is tried
-    // again and gets the whole answer; one that must run once is answered as unknown, at once.
+    // The connection ends in the middle of a response body. An idempotent request is retried and
+    // gets the complete response; a non-idempotent one fails as unknown without delay.
     let big = MinionBehaviour {
         answer_bytes: 100_000,
         ..MinionBehaviour::default()
     };
-    let (cell, proxy) = behind_proxy(big).await;
+    let (cell, proxy) = start_behind_proxy(big).await;
     let ask = |key: &str, idempotent: &str| {
         let url = cell.url(0, &format!("/v1/services/desk/{key}"));
         cell.client
@@ -77,7 +77,7 @@
     assert_eq!((once.status().as_u16(), outcome(&once)), (502, "unknown"));
     let retried = ask("twice", "true");
     let reopen = async {
-        until("the first try runs", || async {
+        until("the first attempt runs", || async {
             cell.check().contains_key("/twice")
         })
         .await;
@@ -95,8 +95,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crossed_answer_goes_to_nobody() {
-    // A minion sends one request's answer on another's connection. The number it carries is not
-    // the one that was sent, so it is dropped and the outcome is unknown.
+    // A minion sends the response to one request on the connection of another. Its request id is
+    // not the one that was sent, so it must be dropped and the outcome is unknown.
     let cell = Cell::start(document(), 1, 0).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -127,20 +127,20 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_connections_to_a_peer_and_to_control_are_replaced() {
-    // First the connection to the only owner goes silent: an idempotent request sent into it is
-    // forwarded again over a new one. Then the one to control: it is replaced, the lease is
-    // renewed, and calls are answered again.
+    // First the connection to the minion's owner goes dead: an idempotent request must be forwarded
+    // again over a new one. Then the one to the control plane: it must be replaced, so that the
+    // lease is renewed and calls are answered again.
     let mut cell = Cell::start(document(), 1, 1).await;
-    let to_peer = TcpProxy::start(cell.entries[0].peer_addr, 1).await.unwrap();
-    let to_control = TcpProxy::start(cell.control.addr, 1).await.unwrap();
-    cell.control.advertise_peer("entry-0", to_peer.addr());
-    let second = settings("entry-1", to_control.addr());
+    let peer_proxy = TcpProxy::start(cell.entries[0].peer_addr, 1).await.unwrap();
+    let control_proxy = TcpProxy::start(cell.control.addr, 1).await.unwrap();
+    cell.control.advertise_peer("entry-0", peer_proxy.addr());
+    let second = settings("entry-1", control_proxy.addr());
     cell.entries.push(TestEntry::start(second).await);
     cell.settled(1).await;
     assert_eq!(cell.ask(1, "before").await.status(), 200);
-    to_peer.apply(Fault::SilenceOpen);
+    peer_proxy.apply(Fault::SilenceOpen);
     assert_eq!(cell.ask(1, "silent").await.status(), 200);
-    to_control.apply(Fault::SilenceOpen);
+    control_proxy.apply(Fault::SilenceOpen);
     let url = cell.url(1, "/v1/jobs/none");
     until("control answers again", || async {
         let reply = cell.client.get(&url).send().await.unwrap();
@@ -153,9 +153,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn overload_is_refused_at_once() {
-    // A hundred callers ask one minion of eight slots and a short deadline. Those that can't be
-    // served in time are told so long before their deadline, with when to come back, and what
-    // was called not run did not run.
+    // A hundred concurrent requests with a short deadline go to one minion with eight slots. Those
+    // that can't be answered in time are refused with a retry-after time, and those refused as
+    // not run must not have run.
     let slow = MinionBehaviour {
         service_time: Duration::from_millis(200),
         ..MinionBehaviour::default()
@@ -192,8 +192,8 @@
     assert!(done >= 8 && refused > 0, "{done} done, {refused} refused");
 }
 
-/// A listener whose queue is full, with what fills it: a further connection opens only once that
-/// one was accepted.
+/// A listener with a full accept queue, and the connection that fills it: the next connection is
+/// established only after that one was accepted.
 async fn full_listener() -> (TcpListener, TcpStream) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -202,9 +202,9 @@
     (listener, TcpStream::connect(addr).await.unwrap())
 }
 
-/// Whether someone waits for a connection to this address to open.
+/// Whether a connection attempt to this address is pending.
 fn is_opening(addr: SocketAddr) -> bool {
-    /// Word of the system's table for a connection that was asked for and not answered yet.
+    /// State in `/proc/net/tcp` of a connection whose SYN was not answered yet.
     const SYN_SENT: &str = "02";
     let SocketAddr::V4(v4) = addr else {
         unreachable!("entry hosts under test use IPv4")
@@ -223,15 +223,15 @@
 #[case::idempotent("true")]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_connection_that_opens_after_the_lease_carries_no_request(#[case] idempotent: &str) {
-    // An entry host decides for its minion within its lease, and stands still while the
-    // connection opens. Meanwhile control has not heard of it for longer than the lease and may
-    // have given the minion to another, which fills it. Awake again, it holds an open connection
-    // and the request: sending it would put one more in work than the minion takes.
+    // An entry host selects its minion within its lease and is paused while the connection opens.
+    // Meanwhile its lease expires, so the control plane may assign the minion to another entry
+    // host, which may use all slots. After the pause the first one has an open connection and the
+    // request: sending it could exceed the minion's slots, so it must not be sent.
     let mut cell = Cell::start(document(), 0, 0).await;
-    let to_control = TcpProxy::start(cell.control.addr, 1).await.unwrap();
-    let entry = settings("entry-0", to_control.addr());
+    let control_proxy = TcpProxy::start(cell.control.addr, 1).await.unwrap();
+    let entry = settings("entry-0", control_proxy.addr());
     cell.entries.push(TestEntry::start(entry).await);
-    let (listener, filling) = full_listener().await;
+    let (listener, queued_connection) = full_listener().await;
     let addr = listener.local_addr().unwrap();
     let url = cell.url(0, "/v1/minions/minion-0");
     let minion = serde_json::json!({"service": "desk", "addr": addr, "ttl_ms": 60_000});
@@ -246,8 +246,8 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         cell.entries[0].stall(STALL);
-        to_control.apply(Fault::Silence(Direction::Both));
-        drop(filling);
+        control_proxy.apply(Fault::Silence(Direction::Both));
+        drop(queued_connection);
         let (_, _) = listener.accept().await.unwrap();
         let (mut opened, _) = listener.accept().await.unwrap();
         let mut sent = Vec::new();
--- a/tests/process_entries.rs
+++ b/tests/process_entries.rs
@@ -1,4 +1,4 @@
-//! Entry hosts as real processes: owners lost, connections silent, keys, restarts.
+//! Entry hosts as real processes: lost owners, dead connections, idempotency keys, restarts.
 
 mod cell;
 
@@ -13,7 +13,7 @@
 use yuccahold::fault::{Direction, Fault};
 use yuccahold::stand_in::{MinionBehaviour, MinionHandle, MinionOptions, start_minion};
 
-fn cell_of(entries: usize, minions: usize) -> Shape {
+fn shape(entries: usize, minions: usize) -> Shape {
     Shape {
         entries,
         minions,
@@ -23,15 +23,15 @@
 
 type Answers = Vec<(String, Answer)>;
 
-/// Callers that ask without end until they are told to stop, each request under its own key.
+/// Callers that send requests until they are stopped, each request with its own key.
 struct Callers {
     stop: Arc<AtomicBool>,
     tasks: Vec<JoinHandle<Answers>>,
 }
 
-/// Asks until there is an outcome other than `not-run` or a lost connection, each time at the
-/// next entry host, as a client behind a balancer does.
-async fn ask_any(
+/// Resends a request until its outcome is neither `not-run` nor a lost connection, each time to the
+/// next entry host, as a client behind a load balancer does.
+async fn request_until_done(
     client: &reqwest::Client,
     entries: &[std::net::SocketAddr],
     mut turn: usize,
@@ -69,7 +69,7 @@
                         ("idempotency-key", key.as_str()),
                         ("yuccahold-idempotent", idempotent),
                     ];
-                    let answer = ask_any(&client, &entries, caller, &headers).await;
+                    let answer = request_until_done(&client, &entries, caller, &headers).await;
                     answers.push((key, answer));
                 }
                 answers
@@ -89,8 +89,8 @@
     }
 }
 
-/// Requests begun by key, over all minions.
-fn begun(env: &TestEnv) -> BTreeMap<String, u32> {
+/// Number of starts on all minions, by request key.
+fn started_by_key(env: &TestEnv) -> BTreeMap<String, u32> {
     let mut sums = BTreeMap::new();
     for minion in env.minions.values() {
         for (key, n) in minion.counts().by_key {
@@ -100,10 +100,10 @@
     sums
 }
 
-/// Checks that every answer of `done` is the caller's own and truly ran, that no request that
-/// must not run twice did, and what must always hold.
-fn check_answers(env: &TestEnv, answers: &Answers, once: bool) {
-    let begun = begun(env);
+/// Checks that every request with outcome `done` ran and got its own response, that with `once` none
+/// ran twice, and the invariants of the cell.
+fn check_responses(env: &TestEnv, answers: &Answers, once: bool) {
+    let begun = started_by_key(env);
     for (key, answer) in answers {
         let times = begun.get(key).copied().unwrap_or(0);
         if answer.outcome == "done" {
@@ -117,35 +117,36 @@
     env.check();
 }
 
-/// Waits until a number of further requests have begun.
-async fn more_begun(env: &TestEnv, further: usize) {
-    let before = begun(env).len();
+/// Waits until requests with this many further keys have started.
+async fn wait_for_started(env: &TestEnv, further: usize) {
+    let before = started_by_key(env).len();
     until("further requests", async || {
-        begun(env).len() >= before + further
+        started_by_key(env).len() >= before + further
     })
     .await;
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Blow {
+enum Failure {
     Killed,
     PausedAndWoken,
     CutOffFromControl,
 }
 
 #[rstest]
-#[case::killed(Blow::Killed, false)]
-#[case::killed_once(Blow::Killed, true)]
-#[case::paused(Blow::PausedAndWoken, false)]
-#[case::paused_once(Blow::PausedAndWoken, true)]
-#[case::cut_off_once(Blow::CutOffFromControl, true)]
+#[case::killed(Failure::Killed, false)]
+#[case::killed_once(Failure::Killed, true)]
+#[case::paused(Failure::PausedAndWoken, false)]
+#[case::paused_once(Failure::PausedAndWoken, true)]
+#[case::cut_off_once(Failure::CutOffFromControl, true)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_owner_is_lost_with_requests_in_flight(#[case] blow: Blow, #[case] once: bool) {
-    // An entry host that owns minions dies, pauses past its lease, or loses control without a
-    // word, with requests in work. The others wait out its lease, take its minions over and begin
-    // from what those report in use. Callers get answers again; no minion ever has more than 8 in
-    // work, no request that must not run twice does, also when the old owner wakes up.
-    let mut env = TestEnv::start(&format!("owner-{blow:?}-{once}"), cell_of(3, 4)).await;
+async fn an_owner_is_lost_with_requests_in_flight(#[case] failure: Failure, #[case] once: bool) {
+    // An entry host that owns minions is killed, is paused until after its lease expired, or
+    // silently loses its connection to the control plane, with requests in flight. The others wait
+    // until its lease expires, take its minions over and count the slots that these report in use.
+    // Requests are answered again. No minion ever runs more than 8 requests, and no non-idempotent
+    // request runs twice, also after the old owner has resumed.
+    let mut env = TestEnv::start(&format!("owner-{failure:?}-{once}"), shape(3, 4)).await;
     for minion in env.minions.values() {
         minion.set_behaviour(MinionBehaviour {
             service_time: Duration::from_millis(30),
@@ -154,11 +155,11 @@
         });
     }
     let callers = Callers::start(&env, 24, once);
-    more_begun(&env, 100).await;
-    match blow {
-        Blow::Killed => env.entries[0].kill(),
-        Blow::PausedAndWoken => env.entries[0].pause(),
-        Blow::CutOffFromControl => {
+    wait_for_started(&env, 100).await;
+    match failure {
+        Failure::Killed => env.entries[0].kill(),
+        Failure::PausedAndWoken => env.entries[0].pause(),
+        Failure::CutOffFromControl => {
             env.net.between("e1", "c1", Fault::Silence(Direction::Both));
         }
     }
@@ -168,30 +169,30 @@
         rows.len() == 4 && rows.iter().all(taken)
     })
     .await;
-    more_begun(&env, 100).await;
-    match blow {
-        Blow::Killed => env.entries[0].start(&[]),
-        Blow::PausedAndWoken => env.entries[0].resume(),
-        Blow::CutOffFromControl => env.net.between("e1", "c1", Fault::Reopen),
+    wait_for_started(&env, 100).await;
+    match failure {
+        Failure::Killed => env.entries[0].start(&[]),
+        Failure::PausedAndWoken => env.entries[0].resume(),
+        Failure::CutOffFromControl => env.net.between("e1", "c1", Fault::Reopen),
     }
     until("it to be ready again", async || {
         env.is_ready(&env.entries[0]).await
     })
     .await;
-    more_begun(&env, 100).await;
+    wait_for_started(&env, 100).await;
     let answers = callers.finish().await;
-    check_answers(&env, &answers, once);
+    check_responses(&env, &answers, once);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_rolling_restart_under_load_fails_no_idempotent_request() {
-    // Operators restart all entry hosts one after the other while callers ask. The balancer sees
-    // not ready first, requests in flight end, ownership is handed over. A caller that meets a
-    // closed port goes to the next host; any other failure counts.
-    let mut env = TestEnv::start("rolling-entries", cell_of(3, 4)).await;
+    // All entry hosts are restarted one after the other under load. Each becomes not ready, lets
+    // requests in flight end and hands its minions over. A caller that finds a closed port uses the
+    // next entry host; any other failure fails the test.
+    let mut env = TestEnv::start("rolling-entries", shape(3, 4)).await;
     let callers = Callers::start(&env, 16, false);
     for n in 0..3 {
-        more_begun(&env, 60).await;
+        wait_for_started(&env, 60).await;
         let status = env.entries[n].stop().await;
         assert_eq!(status.code(), Some(0));
         env.entries[n].start(&[]);
@@ -200,22 +201,22 @@
         })
         .await;
     }
-    more_begun(&env, 60).await;
+    wait_for_started(&env, 60).await;
     let answers = callers.finish().await;
     let failed: Vec<_> = answers
         .iter()
         .filter(|(_, answer)| answer.outcome != "done")
         .collect();
     assert_eq!(failed, Vec::<&(String, Answer)>::new());
-    check_answers(&env, &answers, false);
+    check_responses(&env, &answers, false);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn one_key_at_three_entry_hosts_runs_once() {
-    // A caller that got no answer sends the same request, which must not run twice, through
-    // other entry hosts while the first still works on it. One run serves all, or they are told
-    // that it is in progress; later resends get the stored answer.
-    let env = TestEnv::start("one-key", cell_of(3, 3)).await;
+    // A caller resends a non-idempotent request through other entry hosts while the first one is
+    // still running. The request must run once; the others get its response or are refused because
+    // it is in progress, and later resends get the stored response.
+    let env = TestEnv::start("one-key", shape(3, 3)).await;
     for round in 0..10 {
         let key = format!("pay-{round}");
         let headers = [
@@ -239,19 +240,19 @@
             let body = String::from_utf8(body).unwrap();
             assert!(body.contains(&key), "{body}");
         }
-        assert_eq!(begun(&env).get(&key), Some(&1));
+        assert_eq!(started_by_key(&env).get(&key), Some(&1));
     }
     env.check();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn connections_between_daemons_that_went_silent_are_replaced() {
-    // A device between the hosts forgets every open connection among entry hosts and to control,
-    // so that nothing on them arrives any more; new ones work. Callers may wait or be refused
-    // with not-run, but requests soon flow again, and none gets another's answer.
-    let env = TestEnv::start("silent-connections", cell_of(3, 3)).await;
+    // A middlebox drops the packets of every open connection among entry hosts and to the control
+    // plane; new connections work. Requests may wait or be refused as not run, but must soon be
+    // answered again, and none gets the response of another.
+    let env = TestEnv::start("silent-connections", shape(3, 3)).await;
     let callers = Callers::start(&env, 12, false);
-    more_begun(&env, 60).await;
+    wait_for_started(&env, 60).await;
     let to_control = || -> u64 {
         let lanes = ["e1", "e2", "e3"].map(|from| env.net.lanes(from, "c1"));
         lanes
@@ -267,7 +268,7 @@
             lanes.iter().for_each(|lane| lane.apply(Fault::SilenceOpen));
         }
     }
-    more_begun(&env, 200).await;
+    wait_for_started(&env, 200).await;
     for n in 0..3 {
         until("an answer from each entry host", async || {
             env.ask(n, "/check", &[]).await.outcome == "done"
@@ -279,10 +280,10 @@
     })
     .await;
     let answers = callers.finish().await;
-    check_answers(&env, &answers, false);
+    check_responses(&env, &answers, false);
 }
 
-/// Announces a minion by hand.
+/// Announces a minion at the first entry host, in place of the minion's own announcements.
 async fn announce(env: &TestEnv, minion: &MinionHandle, zone: &str, ttl: Duration) {
     let url = format!("http://{}/v1/minions/quiet", env.entries[0].http);
     let announcement = serde_json::json!({
@@ -298,10 +299,10 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_minion_that_fell_silent_and_came_back_is_not_overfilled() {
-    // A minion's announcements stay away for a moment, as when the entry host that it announces
-    // to is paused, while its owner has all of its slots in use. It announces itself again, now
-    // nearer to another entry host. That one must not start from zero beside what is in work.
-    let mut env = TestEnv::start("fell-silent", cell_of(2, 0)).await;
+    // A minion's announcements stop for a while, as when the entry host that receives them is
+    // paused, while its owner uses all its slots. Then it announces itself again, in the
+    // availability zone of another entry host. A new owner must not use slots still in use.
+    let mut env = TestEnv::start("fell-silent", shape(2, 0)).await;
     let behaviour = MinionBehaviour {
         service_time: Duration::from_millis(2500),
         ..MinionBehaviour::default()
@@ -317,7 +318,7 @@
         let asks = (0..8).map(|_| env.ask(0, "/check", &[]));
         futures::future::join_all(asks).await
     };
-    let comes_back = async {
+    let returns = async {
         until("all slots to be in use", async || {
             minion.counts().in_work == 8
         })
@@ -332,7 +333,7 @@
         let asks = (0..8).map(|_| env.ask(1, "/check", &[]));
         futures::future::join_all(asks).await
     };
-    let (first, second) = tokio::join!(asks, comes_back);
+    let (first, second) = tokio::join!(asks, returns);
     let answers = first.iter().chain(&second);
     assert!(
         answers.clone().all(|a| a.outcome == "done"),
