--- a/benches/routing_model/mod.rs
+++ b/benches/routing_model/mod.rs
@@ -20,9 +20,11 @@
 
 pub const MS: Duration = Duration::from_millis(1);
 const LEASE: Duration = Duration::from_secs(1);
-const NETWORK_DELAY: Duration = Duration::from_micros(500);
-const TICK_INTERVAL: Duration = Duration::from_millis(5);
-const MIN_LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(2);
+/// One-way network delay between any two processes.
+const DELAY: Duration = Duration::from_micros(500);
+const TICK: Duration = Duration::from_millis(5);
+/// Minimum interval between load reports of an entry host.
+const REPORT_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Final outcome of one caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -68,12 +70,12 @@
     Begin {
         minion: usize,
         process: u32,
-        sent: Box<SentAttempt>,
+        sent: Box<Sent>,
     },
     End {
         minion: usize,
         process: u32,
-        sent: Box<SentAttempt>,
+        sent: Box<Sent>,
     },
     ProbeAt {
         minion: usize,
@@ -100,8 +102,9 @@
     Action(Box<dyn FnOnce(&mut Simulation)>),
 }
 
+/// An attempt sent to a minion.
 #[derive(Clone)]
-struct SentAttempt {
+struct Sent {
     entry: usize,
     process: u32,
     attempt: AttemptId,
@@ -146,7 +149,7 @@
     /// Whether every response is an error.
     pub fails: bool,
     /// Whether probes are answered with the number of running requests.
-    pub reports_slots: bool,
+    pub reports: bool,
     /// Percentage of responses lost on the way back.
     pub lost_percent: u32,
 }
@@ -215,7 +218,7 @@
                 max_running: 0,
                 service_time: 10 * MS,
                 fails: false,
-                reports_slots: true,
+                reports: true,
                 lost_percent: 0,
             });
             let id: MinionId = format!("minion-{n}").into();
@@ -260,11 +263,11 @@
         );
     }
 
-    fn at(&mut self, after: Duration, sim_event: SimEvent) {
+    fn at(&mut self, after: Duration, event: SimEvent) {
         self.sequence += 1;
         self.events
             .push(std::cmp::Reverse((self.now + after, self.sequence)));
-        self.scheduled.insert(self.sequence, sim_event);
+        self.scheduled.insert(self.sequence, event);
     }
 
     /// Runs an action of the test, such as a failure, after the given time.
@@ -319,10 +322,10 @@
                 .filter(|(_, (_, t))| *t == Target::Peer(name.clone()));
             let attempts: Vec<_> = to_it.map(|(attempt, _)| *attempt).collect();
             for attempt in attempts {
-                let end = AttemptEnd::Broken { silent: false };
-                self.send_event(from, NETWORK_DELAY, Event::Ended { attempt, end });
+                let end = AttemptEnd::Broken { timed_out: false };
+                self.send_event(from, DELAY, Event::Ended { attempt, end });
             }
-            self.send_event(from, NETWORK_DELAY, Event::PeerLost(name.clone()));
+            self.send_event(from, DELAY, Event::PeerLost(name.clone()));
         }
     }
 
@@ -364,8 +367,8 @@
                 break;
             }
             self.now = self.now.max(at);
-            let sim_event = self.scheduled.remove(&sequence).unwrap();
-            self.step(sim_event);
+            let event = self.scheduled.remove(&sequence).unwrap();
+            self.step(event);
         }
         self.now = end;
     }
--- a/benches/routing_model/steps.rs
+++ b/benches/routing_model/steps.rs
@@ -12,24 +12,24 @@
 };
 
 use super::{
-    Caller, LEASE, MIN_LOAD_REPORT_INTERVAL, MS, NETWORK_DELAY, Outcome, Requester, SentAttempt,
-    SimEvent, Simulation, TICK_INTERVAL, entry_id, index, peer,
+    Caller, DELAY, LEASE, MS, Outcome, REPORT_INTERVAL, Requester, Sent, SimEvent, Simulation,
+    TICK, entry_id, index, peer,
 };
 
 impl Simulation {
-    pub(super) fn step(&mut self, sim_event: SimEvent) {
+    pub(super) fn step(&mut self, event: SimEvent) {
         // Events for a paused host wait in its sockets and timers until it resumes.
-        if let Some((n, process)) = receiver(&sim_event) {
+        if let Some((n, process)) = receiver(&event) {
             let entry = &self.entries[n];
             if !entry.alive || entry.process != process {
                 return;
             }
             if entry.paused_until > self.now {
                 let after = entry.paused_until - self.now;
-                return self.at(after, sim_event);
+                return self.at(after, event);
             }
         }
-        match sim_event {
+        match event {
             SimEvent::Call(caller) => self.arrive(&caller),
             SimEvent::Deliver(n, _, event) => self.handle(n, *event),
             SimEvent::Forwarded {
@@ -47,14 +47,14 @@
                 process,
                 attempt,
             } => {
-                let matches_attempt = |requester: &Requester| {
+                let is_match = |requester: &Requester| {
                     matches!(requester, Requester::Peer { entry, process: p, attempt: a }
                     if *entry == from && *p == process && *a == attempt)
                 };
                 let requester = self.entries[to]
                     .requesters
                     .iter()
-                    .find(|(_, a)| matches_attempt(a));
+                    .find(|(_, a)| is_match(a));
                 if let Some(id) = requester.map(|(id, _)| *id) {
                     self.handle(to, Event::Cancelled(id));
                 }
@@ -78,11 +78,9 @@
             } => {
                 let m = &self.minions[minion];
                 let busy = SlotReport::InUse(m.running);
-                let report = m.alive.then_some(if m.reports_slots {
-                    busy
-                } else {
-                    SlotReport::Silent
-                });
+                let report = m
+                    .alive
+                    .then_some(if m.reports { busy } else { SlotReport::Unknown });
                 let minion = format!("minion-{minion}").into();
                 let event = Event::Probed {
                     minion,
@@ -90,18 +88,15 @@
                     sent,
                     report,
                 };
-                self.at(
-                    NETWORK_DELAY,
-                    SimEvent::Deliver(entry, host, Box::new(event)),
-                );
+                self.at(DELAY, SimEvent::Deliver(entry, host, Box::new(event)));
             }
             SimEvent::Timeout { entry, attempt, .. } => {
-                let end = AttemptEnd::Broken { silent: true };
+                let end = AttemptEnd::Broken { timed_out: true };
                 self.handle(entry, Event::Ended { attempt, end });
             }
             SimEvent::Tick(n, process) => {
                 self.handle(n, Event::Tick);
-                self.at(TICK_INTERVAL, SimEvent::Tick(n, process));
+                self.at(TICK, SimEvent::Tick(n, process));
             }
             SimEvent::Renewed {
                 entry,
@@ -207,7 +202,7 @@
                 if let Some((_, Target::Peer(peer))) = self.entries[n].live.remove(&attempt) {
                     let to = index(&peer);
                     self.at(
-                        NETWORK_DELAY,
+                        DELAY,
                         SimEvent::Withdrawn {
                             to,
                             from: n,
@@ -221,7 +216,7 @@
                 if let Some((_, Target::Peer(peer))) = self.entries[n].live.get(&attempt) {
                     let to = index(peer);
                     self.at(
-                        NETWORK_DELAY,
+                        DELAY,
                         SimEvent::Withdrawn {
                             to,
                             from: n,
@@ -243,7 +238,7 @@
                     epoch,
                     sent,
                 };
-                self.at(NETWORK_DELAY, probe);
+                self.at(DELAY, probe);
             }
             Effect::Released(minion) => {
                 if let Some(owned) = self.feed.minions.get_mut(&minion) {
@@ -251,7 +246,7 @@
                 }
             }
             Effect::AnnounceLoad => {
-                let due = self.entries[n].load_sent + MIN_LOAD_REPORT_INTERVAL;
+                let due = self.entries[n].load_sent + REPORT_INTERVAL;
                 self.at(due.saturating_sub(self.now), SimEvent::Load { from: n });
             }
             Effect::Reconnect(_) => {}
@@ -282,7 +277,7 @@
         match target {
             Target::Minion { id, .. } => {
                 let minion = index(&id);
-                let sent = SentAttempt {
+                let sent = Sent {
                     entry: n,
                     process,
                     attempt,
@@ -290,7 +285,7 @@
                 };
                 let to = self.minions[minion].process;
                 self.at(
-                    NETWORK_DELAY,
+                    DELAY,
                     SimEvent::Begin {
                         minion,
                         process: to,
@@ -305,7 +300,7 @@
                         retry_after: None,
                         unreachable: false,
                     };
-                    return self.send_event(n, NETWORK_DELAY, Event::Ended { attempt, end });
+                    return self.send_event(n, DELAY, Event::Ended { attempt, end });
                 }
                 let request = Request {
                     id: 0,
@@ -328,7 +323,7 @@
                 };
                 let request = Box::new(request);
                 self.at(
-                    NETWORK_DELAY,
+                    DELAY,
                     SimEvent::Forwarded {
                         to,
                         from: n,
@@ -341,7 +336,7 @@
         }
     }
 
-    fn begin(&mut self, n: usize, process: u32, sent: SentAttempt) {
+    fn begin(&mut self, n: usize, process: u32, sent: Sent) {
         let minion = &mut self.minions[n];
         if !minion.alive || minion.process != process {
             let end = AttemptEnd::NotRun {
@@ -370,14 +365,14 @@
         );
     }
 
-    fn end(&mut self, n: usize, process: u32, sent: &SentAttempt) {
+    fn end(&mut self, n: usize, process: u32, sent: &Sent) {
         let minion = &mut self.minions[n];
         if !minion.alive || minion.process != process {
-            return self.answer(sent, AttemptEnd::Broken { silent: false });
+            return self.answer(sent, AttemptEnd::Broken { timed_out: false });
         }
         minion.running -= 1;
         let end = if self.rng.random_range(0..100) < minion.lost_percent {
-            AttemptEnd::Broken { silent: false }
+            AttemptEnd::Broken { timed_out: false }
         } else {
             AttemptEnd::Answered {
                 failed: minion.fails,
@@ -386,13 +381,13 @@
         self.answer(sent, end);
     }
 
-    fn answer(&mut self, sent: &SentAttempt, end: AttemptEnd) {
+    fn answer(&mut self, sent: &Sent, end: AttemptEnd) {
         let event = Event::Ended {
             attempt: sent.attempt,
             end,
         };
         self.at(
-            NETWORK_DELAY,
+            DELAY,
             SimEvent::Deliver(sent.entry, sent.process, Box::new(event)),
         );
     }
@@ -428,13 +423,10 @@
                         retry_after: Some(retry_after),
                         unreachable: false,
                     },
-                    Err(RouteError::Unknown { .. }) => AttemptEnd::Broken { silent: false },
+                    Err(RouteError::Unknown { .. }) => AttemptEnd::Broken { timed_out: false },
                 };
                 let event = Event::Ended { attempt, end };
-                self.at(
-                    NETWORK_DELAY,
-                    SimEvent::Deliver(entry, process, Box::new(event)),
-                );
+                self.at(DELAY, SimEvent::Deliver(entry, process, Box::new(event)));
             }
         }
     }
@@ -451,7 +443,7 @@
                 peer: entry_id(n),
                 services: services.clone(),
             };
-            self.send_event(to, NETWORK_DELAY, event);
+            self.send_event(to, DELAY, event);
         }
     }
 
@@ -490,15 +482,15 @@
         if self.feed != before {
             let feed = Arc::new(self.feed.clone());
             for n in 0..self.entries.len() {
-                self.send_event(n, NETWORK_DELAY, Event::Feed(feed.clone()));
+                self.send_event(n, DELAY, Event::Feed(feed.clone()));
             }
         }
         self.at(20 * MS, SimEvent::Control);
     }
 }
 
-fn receiver(sim_event: &SimEvent) -> Option<(usize, u32)> {
-    match sim_event {
+fn receiver(event: &SimEvent) -> Option<(usize, u32)> {
+    match event {
         SimEvent::Deliver(n, process, _) | SimEvent::Tick(n, process) => Some((*n, *process)),
         SimEvent::Timeout { entry, process, .. } | SimEvent::Renewed { entry, process, .. } => {
             Some((*entry, *process))
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -86,7 +86,7 @@
     } else {
         format!("/{rest}")
     };
-    let work = ServiceRequest {
+    let service_request = ServiceRequest {
         service: name.clone(),
         team: declared.team.clone(),
         priority: declared.priority,
@@ -98,7 +98,7 @@
         headers: for_minion(&incoming.headers),
         body,
     };
-    route(context, arrived, Arc::new(work), options.key).await
+    route(context, arrived, Arc::new(service_request), options.key).await
 }
 
 impl RequestOptions {
@@ -157,26 +157,28 @@
 async fn route<L: ControlLink>(
     context: &Arc<Context<L>>,
     arrived: Timestamp,
-    work: Arc<ServiceRequest>,
+    service_request: Arc<ServiceRequest>,
     key: Option<IdempotencyKey>,
 ) -> Reply {
-    let (reply, ended) = match key {
-        None => run_plain(context, &work).await,
-        Some(key) => run_keyed(context, &work, &key).await,
+    let (reply, completed) = match key {
+        None => run_plain(context, &service_request).await,
+        Some(key) => run_keyed(context, &service_request, &key).await,
     };
-    let traceparent = work.headers.get("traceparent");
+    let traceparent = service_request.headers.get("traceparent");
     let traceparent = traceparent
         .and_then(|v| v.to_str().ok())
         .unwrap_or_default();
-    let answer = ended.as_ref().and_then(|ended| match &ended.result {
-        RequestResult::Response(answer) => Some(answer),
-        RequestResult::Failed(_) => None,
-    });
+    let answer = completed
+        .as_ref()
+        .and_then(|completed| match &completed.result {
+            RequestResult::Response(answer) => Some(answer),
+            RequestResult::Failed(_) => None,
+        });
     let access = Access {
-        service: &work.service,
+        service: &service_request.service,
         outcome: outcome_of(&reply),
         status: reply.status().as_u16(),
-        attempts: ended.as_ref().map_or(0, |ended| ended.attempts),
+        attempts: completed.as_ref().map_or(0, |completed| completed.attempts),
         minion: answer.map_or("", |a| a.minion.as_str()),
         zone: answer.map_or("", |a| a.zone.as_str()),
         total: context.core.now().saturating_sub(arrived),
@@ -186,13 +188,13 @@
     context
         .access
         .record(&context.log, context.core.now(), &access);
-    context.burn.record(&access, work.team.clone());
+    context.burn.record(&access, service_request.team.clone());
     reply
 }
 
 fn outcome_of(reply: &Reply) -> Outcome {
-    let word = reply.headers().get(crate::entry::reply::OUTCOME);
-    match word.map(HeaderValue::as_bytes) {
+    let header = reply.headers().get(crate::entry::reply::OUTCOME);
+    match header.map(HeaderValue::as_bytes) {
         Some(b"done") => Outcome::Done,
         Some(b"unknown") => Outcome::Unknown,
         _ => Outcome::NotRun,
@@ -203,16 +205,16 @@
 
 async fn run_plain<L: ControlLink>(
     context: &Arc<Context<L>>,
-    work: &Arc<ServiceRequest>,
+    service_request: &Arc<ServiceRequest>,
 ) -> Routed {
-    let (id, result) = context.core.submit(work.clone(), Origin::Caller);
+    let (id, result) = context.core.submit(service_request.clone(), Origin::Caller);
     let mut guard = CancelOnDrop {
         core: &context.core,
         id: Some(id),
     };
-    let ended = result.await.unwrap_or_else(|_| CompletedRequest::dropped());
+    let completed = result.await.unwrap_or_else(|_| CompletedRequest::dropped());
     guard.id = None;
-    (reply_to(&ended.result), Some(ended))
+    (reply_to(&completed.result), Some(completed))
 }
 
 /// Cancels the request when the caller disconnects and the server drops the handler's future.
@@ -233,28 +235,39 @@
 /// if the caller disconnects.
 async fn run_keyed<L: ControlLink>(
     context: &Arc<Context<L>>,
-    work: &Arc<ServiceRequest>,
+    service_request: &Arc<ServiceRequest>,
     key: &IdempotencyKey,
 ) -> Routed {
     let (entry, process) = (&context.settings.id, context.process);
-    let Some(open) = context.keys.open(&work.service, key, entry, process) else {
+    let Some(key_guard) = context
+        .keys
+        .reserve(&service_request.service, key, entry, process)
+    else {
         return (in_progress(), None);
     };
-    let gone = CancellationToken::new();
-    let _gone_on_drop = gone.clone().drop_guard();
-    let task = tokio::spawn(claim_and_run(context.clone(), work.clone(), open, gone));
+    let disconnected = CancellationToken::new();
+    let _cancel_on_drop = disconnected.clone().drop_guard();
+    let task = tokio::spawn(claim_and_run(
+        context.clone(),
+        service_request.clone(),
+        key_guard,
+        disconnected,
+    ));
     let failed = |_| (route_error(&dropped_error()), None);
     task.await.unwrap_or_else(failed)
 }
 
 async fn claim_and_run<L: ControlLink>(
     context: Arc<Context<L>>,
-    work: Arc<ServiceRequest>,
-    open: KeyGuard,
-    gone: CancellationToken,
+    service_request: Arc<ServiceRequest>,
+    key_guard: KeyGuard,
+    disconnected: CancellationToken,
 ) -> Routed {
-    let timeout = context.core.left(work.deadline).min(CLAIM_TIMEOUT);
-    let claim = open.claim(&work);
+    let timeout = context
+        .core
+        .left(service_request.deadline)
+        .min(CLAIM_TIMEOUT);
+    let claim = key_guard.claim(&service_request);
     let answer = context.link.call(claim, timeout).await;
     match answer {
         Ok(Answer::Key(KeyState::Claimed)) => {}
@@ -263,22 +276,24 @@
         // The claim may have succeeded although its response was lost. Nothing was started, so it
         // is settled as not run.
         Ok(_) => {
-            open.settle(&context.link, KeyState::NotRun).await;
+            key_guard.settle(&context.link, KeyState::NotRun).await;
             return (control_unavailable(), None);
         }
         Err(_) => return (control_unavailable(), None),
     }
-    let (id, mut result) = context.core.submit(work, Origin::Caller);
-    let ended = tokio::select! {
-        ended = &mut result => ended,
-        () = gone.cancelled() => {
+    let (id, mut result) = context.core.submit(service_request, Origin::Caller);
+    let completed = tokio::select! {
+        completed = &mut result => completed,
+        () = disconnected.cancelled() => {
             context.core.handle(Event::Cancelled(id));
             result.await
         }
     };
-    let ended = ended.unwrap_or_else(|_| CompletedRequest::dropped());
-    open.settle(&context.link, state_after(&ended.result)).await;
-    (reply_to(&ended.result), Some(ended))
+    let completed = completed.unwrap_or_else(|_| CompletedRequest::dropped());
+    key_guard
+        .settle(&context.link, state_after(&completed.result))
+        .await;
+    (reply_to(&completed.result), Some(completed))
 }
 
 fn dropped_error() -> RouteError {
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -41,7 +41,8 @@
 pub(super) struct Control<L: ControlLink> {
     pub(super) link: Arc<L>,
     pub(super) core: Arc<Core>,
-    pub(super) traffic: Handle,
+    /// Runtime of the request-handling threads, for connections to peers.
+    pub(super) request_runtime: Handle,
     pub(super) control_status: Arc<ControlStatus>,
     pub(super) lease: Lease,
     pub(super) renewals_in_flight: u32,
@@ -65,7 +66,7 @@
     pub(super) fn start(
         link: Arc<L>,
         core: Arc<Core>,
-        traffic: Handle,
+        request_runtime: Handle,
         control_status: Arc<ControlStatus>,
     ) {
         let (period, periods) = watch::channel(INITIAL_RENEW_INTERVAL);
@@ -74,7 +75,7 @@
         let actor = Self {
             link,
             core,
-            traffic,
+            request_runtime,
             control_status,
             lease: Lease::default(),
             renewals_in_flight: 0,
@@ -103,7 +104,7 @@
     async fn handle(&mut self, FeedChanged(feed): FeedChanged, _cx: &mut Context<Self>) {
         self.core
             .peers
-            .set(&self.core, &self.traffic, &feed.entries);
+            .set(&self.core, &self.request_runtime, &feed.entries);
         self.core.handle(Event::Feed(feed));
         self.core.close_unowned();
         self.control_status.has_feed.store(true, Ordering::Relaxed);
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -21,7 +21,7 @@
 
 /// A request without a result yet.
 struct PendingRequest {
-    work: Arc<ServiceRequest>,
+    service_request: Arc<ServiceRequest>,
     result: oneshot::Sender<CompletedRequest>,
     /// Complete responses, of which the router selects one to deliver.
     answers: Vec<(AttemptId, MinionResponse)>,
@@ -48,7 +48,7 @@
     pub(super) request: RequestId,
     pub(super) target: Target,
     pub(super) until: Timestamp,
-    pub(super) work: Arc<ServiceRequest>,
+    pub(super) service_request: Arc<ServiceRequest>,
 }
 
 /// Shared state of the daemon; see the module.
@@ -124,7 +124,7 @@
     /// Submits a request; its result is sent on the receiver.
     pub(super) fn submit(
         self: &Arc<Self>,
-        work: Arc<ServiceRequest>,
+        service_request: Arc<ServiceRequest>,
         origin: Origin,
     ) -> (RequestId, oneshot::Receiver<CompletedRequest>) {
         let (tx, rx) = oneshot::channel();
@@ -133,16 +133,16 @@
         state.next_request += 1;
         let request = Request {
             id,
-            service: work.service.clone(),
-            team: work.team.clone(),
-            priority: work.priority,
+            service: service_request.service.clone(),
+            team: service_request.team.clone(),
+            priority: service_request.priority,
             arrived: self.now(),
-            deadline: work.deadline,
-            idempotent: work.idempotent,
+            deadline: service_request.deadline,
+            idempotent: service_request.idempotent,
             origin,
         };
         let pending = PendingRequest {
-            work,
+            service_request,
             result: tx,
             answers: Vec::new(),
             attempts: 0,
@@ -199,7 +199,7 @@
                     request,
                     target,
                     until,
-                    work: pending.work.clone(),
+                    service_request: pending.service_request.clone(),
                 };
                 let task = self.runtime.spawn(run_attempt(self.clone(), start));
                 state.attempts.insert(attempt, task.abort_handle());
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -222,7 +222,8 @@
     control_status: &Arc<ControlStatus>,
     end: CancellationToken,
 ) -> Result<Arc<L>> {
-    let (core, control_status, traffic) = (core.clone(), control_status.clone(), Handle::current());
+    let (core, control_status, request_runtime) =
+        (core.clone(), control_status.clone(), Handle::current());
     let (tx, rx) = oneshot::channel();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -233,7 +234,7 @@
     let run = move || {
         runtime.block_on(async move {
             let link = Arc::new(link(hello));
-            Control::start(link.clone(), core, traffic, control_status);
+            Control::start(link.clone(), core, request_runtime, control_status);
             let _ = tx.send(link);
             end.cancelled().await;
         });
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -160,7 +160,7 @@
     limit: usize,
 ) -> Result<Bytes, BodyError> {
     let mut body = std::pin::pin!(body);
-    let mut whole = BytesMut::new();
+    let mut complete = BytesMut::new();
     let mut len = 0;
     while let Some(piece) = body.next().await {
         let mut piece = piece.map_err(|_| BodyError::ConnectionLost)?;
@@ -170,7 +170,7 @@
         }
         while len <= limit && piece.has_remaining() {
             let chunk = piece.chunk();
-            whole.extend_from_slice(chunk);
+            complete.extend_from_slice(chunk);
             let read = chunk.len();
             piece.advance(read);
         }
@@ -178,7 +178,7 @@
     if len > limit {
         return Err(BodyError::TooLarge);
     }
-    Ok(whole.freeze())
+    Ok(complete.freeze())
 }
 
 async fn read_json<T: DeserializeOwned, S, B, E>(incoming: Incoming<S>) -> Result<T, Reply>
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -29,31 +29,31 @@
 /// from the same entry host and process as the first and could be mistaken for a resend of it.
 #[derive(Default)]
 pub(super) struct ActiveKeys {
-    open: Arc<Mutex<HashSet<KeyId>>>,
+    active: Arc<Mutex<HashSet<KeyId>>>,
 }
 
 /// A key reserved in this process until it is settled or this is dropped.
 pub(super) struct KeyGuard {
-    open: Arc<Mutex<HashSet<KeyId>>>,
-    name: KeyId,
+    active: Arc<Mutex<HashSet<KeyId>>>,
+    id: KeyId,
     entry: EntryId,
     process: ProcessId,
 }
 
 impl ActiveKeys {
-    /// Reserves a key; none if a request with it is in progress here.
-    pub(super) fn open(
+    /// Reserves a key in this process; none if a request with it is in progress here.
+    pub(super) fn reserve(
         &self,
         service: &ServiceName,
         key: &IdempotencyKey,
         entry: &EntryId,
         process: ProcessId,
     ) -> Option<KeyGuard> {
-        let name = (service.clone(), key.clone());
-        let taken = lock(&self.open).insert(name.clone());
-        taken.then(|| KeyGuard {
-            open: self.open.clone(),
-            name,
+        let id = (service.clone(), key.clone());
+        let reserved = lock(&self.active).insert(id.clone());
+        reserved.then(|| KeyGuard {
+            active: self.active.clone(),
+            id,
             entry: entry.clone(),
             process,
         })
@@ -62,20 +62,20 @@
 
 impl Drop for KeyGuard {
     fn drop(&mut self) {
-        lock(&self.open).remove(&self.name);
+        lock(&self.active).remove(&self.id);
     }
 }
 
 impl KeyGuard {
     /// The call that claims the key for a request.
-    pub(super) fn claim(&self, work: &ServiceRequest) -> Call {
+    pub(super) fn claim(&self, service_request: &ServiceRequest) -> Call {
         Call::ClaimKey(KeyClaim {
-            service: self.name.0.clone(),
-            key: self.name.1.clone(),
-            digest: digest(work),
+            service: self.id.0.clone(),
+            key: self.id.1.clone(),
+            digest: digest(service_request),
             entry: self.entry.clone(),
             process: self.process,
-            idempotent: work.idempotent,
+            idempotent: service_request.idempotent,
         })
     }
 
@@ -95,8 +95,8 @@
 
     async fn try_settle<L: ControlLink>(&self, link: &L, state: &KeyState) -> bool {
         let settlement = Call::SettleKey(KeySettlement {
-            service: self.name.0.clone(),
-            key: self.name.1.clone(),
+            service: self.id.0.clone(),
+            key: self.id.1.clone(),
             entry: self.entry.clone(),
             process: self.process,
             state: state.clone(),
@@ -133,13 +133,16 @@
 }
 
 /// Hash of method, path and body, which must be equal when a key is used again.
-fn digest(work: &ServiceRequest) -> [u8; 16] {
+fn digest(service_request: &ServiceRequest) -> [u8; 16] {
     let mut hasher = blake3::Hasher::new();
-    for part in [work.method.as_str().as_bytes(), work.path.as_bytes()] {
+    for part in [
+        service_request.method.as_str().as_bytes(),
+        service_request.path.as_bytes(),
+    ] {
         hasher.update(&(part.len() as u64).to_le_bytes());
         hasher.update(part);
     }
-    hasher.update(&work.body);
+    hasher.update(&service_request.body);
     let mut digest = [0; 16];
     digest.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
     digest
--- a/src/entry/minion_client.rs
+++ b/src/entry/minion_client.rs
@@ -97,7 +97,7 @@
         // paused since the routing decision, and the minion may have another owner now.
         let (router, minion, epoch) = (core.clone(), id.clone(), *epoch);
         let check = move || router.read(|router, now| router.may_use(now, &minion, epoch));
-        let idle = self.idle(id, start.work.idempotent);
+        let idle = self.idle(id, start.service_request.idempotent);
         let sending = send(*addr, idle.as_deref(), request, Arc::new(check));
         let (connection, mut response) = match tokio::time::timeout(left, sending).await {
             Err(_) => return broken(true),
@@ -110,10 +110,10 @@
             metrics::counter!("yuccahold_entry_crossed_answers_total").increment(1);
             return broken(false);
         }
-        let is_head = start.work.method == Method::HEAD;
+        let is_head = start.service_request.method == Method::HEAD;
         let (status, headers) = (response.status(), response.headers().clone());
         let left = core.left(start.until);
-        let body = read_whole(&mut response, is_head, start.work.body_limit);
+        let body = read_complete_body(&mut response, is_head, start.service_request.body_limit);
         let body = match tokio::time::timeout(left, body).await {
             Err(_) => return broken(true),
             Ok(None) => return broken(false),
@@ -148,12 +148,12 @@
             .ok()?
             .ok()?;
         if response.status() != StatusCode::OK {
-            return Some(SlotReport::Silent);
+            return Some(SlotReport::Unknown);
         }
         let body = tokio::time::timeout(PROBE_TIMEOUT, response.json::<SlotsInUse>()).await;
         match body {
             Ok(Ok(slots)) => Some(SlotReport::InUse(slots.in_use)),
-            _ => Some(SlotReport::Silent),
+            _ => Some(SlotReport::Unknown),
         }
     }
 }
@@ -179,13 +179,15 @@
     epoch: u64,
     request_id: &str,
 ) -> Option<Request<Full<Bytes>>> {
-    let work = &start.work;
-    let url = reqwest::Url::parse(&format!("http://{addr}{}", work.path)).ok()?;
+    let service_request = &start.service_request;
+    let url = reqwest::Url::parse(&format!("http://{addr}{}", service_request.path)).ok()?;
     let path = with_query(url.path(), url.query().unwrap_or_default());
-    let request = Request::builder().method(work.method.clone()).uri(path);
-    let mut request = request.body(Full::new(work.body.clone())).ok()?;
+    let request = Request::builder()
+        .method(service_request.method.clone())
+        .uri(path);
+    let mut request = request.body(Full::new(service_request.body.clone())).ok()?;
     let headers = request.headers_mut();
-    *headers = work.headers.clone();
+    *headers = service_request.headers.clone();
     headers
         .entry(ACCEPT)
         .or_insert(HeaderValue::from_static("*/*"));
@@ -198,7 +200,7 @@
 
 /// Reads a body of at most `limit` bytes; none when it is truncated, too long, or neither chunked
 /// nor of a declared length.
-async fn read_whole(
+async fn read_complete_body(
     response: &mut Response<Incoming>,
     is_head: bool,
     limit: usize,
@@ -263,8 +265,8 @@
     seconds.parse().ok().map(Duration::from_secs)
 }
 
-fn broken(silent: bool) -> End {
-    (AttemptEnd::Broken { silent }, None)
+fn broken(timed_out: bool) -> End {
+    (AttemptEnd::Broken { timed_out }, None)
 }
 
 fn not_run(retry_after: Option<Duration>, unreachable: bool) -> End {
--- a/src/entry/minion_connection.rs
+++ b/src/entry/minion_connection.rs
@@ -80,9 +80,9 @@
 
     /// Keeps a connection whose last response was read completely.
     pub(super) fn put(&self, connection: Connection) {
-        let mut kept = lock(&self.0);
-        if kept.len() < IDLE_PER_MINION {
-            kept.push((Instant::now(), connection));
+        let mut idle = lock(&self.0);
+        if idle.len() < IDLE_PER_MINION {
+            idle.push((Instant::now(), connection));
         }
     }
 
@@ -96,11 +96,11 @@
 /// one and the request was not written, it is sent on another.
 pub(super) async fn send(
     addr: SocketAddr,
-    kept: Option<&IdleConnections>,
+    idle: Option<&IdleConnections>,
     mut request: Request<Full<Bytes>>,
     check: Check,
 ) -> Result<(Connection, Response<Incoming>), SendError> {
-    while let Some(mut connection) = kept.and_then(IdleConnections::take) {
+    while let Some(mut connection) = idle.and_then(IdleConnections::take) {
         if connection.sender.ready().await.is_err() {
             continue;
         }
@@ -171,7 +171,7 @@
         Err(IoError::new(ErrorKind::ConnectionAborted, "not sent"))
     }
 
-    fn check_done(&self, written: &Poll<IoResult<usize>>) {
+    fn clear_check_after_write(&self, written: &Poll<IoResult<usize>>) {
         if written.is_ready() {
             *lock(&self.write_check.check) = None;
         }
@@ -186,7 +186,7 @@
     ) -> Poll<IoResult<usize>> {
         self.check_before_write()?;
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.check_done(&written);
+        self.clear_check_after_write(&written);
         written
     }
 
@@ -197,7 +197,7 @@
     ) -> Poll<IoResult<usize>> {
         self.check_before_write()?;
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.check_done(&written);
+        self.clear_check_after_write(&written);
         written
     }
 
--- a/src/entry/peer_dialer.rs
+++ b/src/entry/peer_dialer.rs
@@ -131,33 +131,33 @@
             return not_run(None);
         };
         let stream = start.attempt;
-        let work = &start.work;
+        let service_request = &start.service_request;
         let (tx, rx) = oneshot::channel();
         let pending = PendingResponse {
             end: tx,
             sent: false,
             answer: None,
-            body_limit: work.body_limit,
+            body_limit: service_request.body_limit,
         };
         lock(&open.streams).insert(stream, pending);
         let _guard = StreamGuard {
             open: &open,
             stream,
         };
-        let (first, rest) = split_first_chunk(&work.body);
+        let (first, rest) = split_first_chunk(&service_request.body);
         let request = PeerMessage::Request {
             stream,
             head: RequestHead {
-                service: work.service.clone(),
-                team: work.team.clone(),
-                priority: work.priority,
-                idempotent: work.idempotent,
+                service: service_request.service.clone(),
+                team: service_request.team.clone(),
+                priority: service_request.priority,
+                idempotent: service_request.idempotent,
                 left: core.left(start.until),
-                method: CompactString::from(work.method.as_str()),
-                path: work.path.clone(),
-                headers: (&work.headers).into(),
+                method: CompactString::from(service_request.method.as_str()),
+                path: service_request.path.clone(),
+                headers: (&service_request.headers).into(),
             },
-            body_len: work.body.len() as u32,
+            body_len: service_request.body.len() as u32,
             first,
         };
         if !open.outbox.send(request).await {
@@ -167,7 +167,7 @@
         let (end, ()) = tokio::join!(rx, async {
             rest.await;
         });
-        end.unwrap_or((AttemptEnd::Broken { silent: false }, None))
+        end.unwrap_or((AttemptEnd::Broken { timed_out: false }, None))
     }
 
     fn close(&self, id: &EntryId) {
@@ -205,7 +205,7 @@
     fn fail_all(&self) {
         for (_, pending) in lock(&self.streams).drain() {
             let end = if pending.sent {
-                (AttemptEnd::Broken { silent: false }, None)
+                (AttemptEnd::Broken { timed_out: false }, None)
             } else {
                 not_run(None)
             };
@@ -230,7 +230,7 @@
     fn receive_response(&self, stream: StreamId, head: AnswerHead, len: usize, first: &Bytes) {
         self.finish(stream, |pending| {
             if len > pending.body_limit || first.len() > len {
-                return Some((AttemptEnd::Broken { silent: false }, None));
+                return Some((AttemptEnd::Broken { timed_out: false }, None));
             }
             let mut body = BytesMut::with_capacity(len);
             body.extend_from_slice(first);
@@ -259,7 +259,7 @@
         let (head, len, body) = self.answer.take()?;
         let status = StatusCode::from_u16(head.status).ok();
         let (Some(status), true) = (status, body.len() == len) else {
-            return Some((AttemptEnd::Broken { silent: false }, None));
+            return Some((AttemptEnd::Broken { timed_out: false }, None));
         };
         let answer = MinionResponse {
             status,
@@ -339,7 +339,7 @@
             } => open.finish(stream, |_| Some(not_run(Some(retry_after)))),
             PeerMessage::Unknown { stream } => {
                 open.finish(stream, |_| {
-                    Some((AttemptEnd::Broken { silent: false }, None))
+                    Some((AttemptEnd::Broken { timed_out: false }, None))
                 });
             }
             _ => {}
--- a/src/entry/peer_server.rs
+++ b/src/entry/peer_server.rs
@@ -150,10 +150,10 @@
         };
         partial.body.extend_from_slice(data);
         if partial.body.len() >= partial.len
-            && let Some(whole) = partials.remove(&stream)
+            && let Some(complete) = partials.remove(&stream)
         {
             drop(partials);
-            return self.begin(stream, whole);
+            return self.begin(stream, complete);
         }
         let _ = self.outbox.try_send(PeerMessage::Credit { stream });
     }
@@ -182,7 +182,7 @@
         if body.len() != len {
             return self.refuse(stream);
         }
-        let work = ServiceRequest {
+        let service_request = ServiceRequest {
             body_limit: self.body_limit(&head),
             service: head.service,
             team: head.team,
@@ -195,7 +195,7 @@
             body: body.freeze(),
         };
         let origin = Origin::Peer(self.peer.clone());
-        let (id, result) = self.core.submit(Arc::new(work), origin);
+        let (id, result) = self.core.submit(Arc::new(service_request), origin);
         lock(&self.active).insert(stream, id);
         let connection = self.clone();
         tokio::spawn(async move {
--- a/src/routing/minion.rs
+++ b/src/routing/minion.rs
@@ -228,7 +228,7 @@
         if self.settling {
             let in_use = match report {
                 SlotReport::InUse(n) => n,
-                SlotReport::Silent => self.slots,
+                SlotReport::Unknown => self.slots,
             };
             let until = now + hold;
             self.holds
--- a/src/routing/model.rs
+++ b/src/routing/model.rs
@@ -96,7 +96,7 @@
     /// Number of requests that the minion is processing.
     InUse(u32),
     /// The minion is reachable but does not report its slots.
-    Silent,
+    Unknown,
 }
 
 /// How an attempt ended.
@@ -117,7 +117,7 @@
     /// No complete response arrived, and the request may have run.
     Broken {
         /// Whether nothing was received in time, so that open connections may be dead.
-        silent: bool,
+        timed_out: bool,
     },
 }
 
--- a/src/routing/verdicts.rs
+++ b/src/routing/verdicts.rs
@@ -98,15 +98,15 @@
                 }
                 false
             }
-            AttemptEnd::Broken { silent } => {
+            AttemptEnd::Broken { timed_out } => {
                 minion.hold(now, ended.until.max(now) + HOLD_MARGIN);
-                if silent {
+                if timed_out {
                     // A timeout may be a fault of this connection alone. The minion counts as
                     // unreachable only if a probe over a new connection fails too.
                     minion.probe_by(now);
                     out.push(Effect::Reconnect(id.clone()));
                 }
-                !silent
+                !timed_out
             }
         };
         if failed {
--- a/tests/routing_cell.rs
+++ b/tests/routing_cell.rs
@@ -106,7 +106,7 @@
     // the new one holds every slot for the longest deadline, then uses the minions.
     let mut sim = sim(seed);
     for minion in &mut sim.minions {
-        minion.reports_slots = false;
+        minion.reports = false;
         minion.service_time = 100 * MS;
     }
     sim.schedule(1500 * MS, |w| w.kill_entry(0));
