--- a/benches/routing.rs
+++ b/benches/routing.rs
@@ -108,7 +108,8 @@
     -rng.random::<f64>().max(1e-12).ln() * mean
 }
 
-/// Waiting times in the simulation of seven entry hosts with this router.
+/// Waiting times in the simulation of seven entry hosts with this router, with the same network
+/// delay.
 fn waits_with_router(seed: u64, minions: usize, slots: u32, load: f64) -> Vec<f64> {
     let mut sim = Simulation::new(seed, document(slots), 7, minions, slots);
     sim.run(Duration::from_secs(2));
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -18,7 +18,7 @@
 use crate::routing::{Event, Lease};
 use crate::wire::{Answer, Call, EntryReport, Feed};
 
-/// Interval between renewals until the first response tells the length of the lease.
+/// Interval between renewals until the first response with the length of the lease.
 const INITIAL_RENEW_INTERVAL: Duration = Duration::from_millis(100);
 /// Renewals sent per lease duration.
 const RENEWALS_PER_LEASE: u32 = 3;
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -64,10 +64,10 @@
     /// Why the load balancer should not send requests here; none when ready.
     pub(super) fn not_ready(&self) -> Option<&'static str> {
         if self.stopping.load(Ordering::Relaxed) {
-            return Some("the entry host stops");
+            return Some("the entry host is shutting down");
         }
         if !self.has_document() {
-            return Some("no document has come from control yet");
+            return Some("no document has been received from control yet");
         }
         let leased = self.core.read(|router, now| router.is_leased(now));
         (!leased).then_some("the lease from control has lapsed")
@@ -284,7 +284,7 @@
     close: &CancellationToken,
     server: JoinHandle<()>,
 ) {
-    slog::info!(context.log, "stopping: not ready from now on");
+    slog::info!(context.log, "shutting down: not ready for new requests");
     context.stopping.store(true, Ordering::Relaxed);
     tokio::time::sleep(context.settings.stop_delay).await;
     let end = Instant::now() + context.settings.stop_grace;
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -61,7 +61,7 @@
             };
             async move { answer(&context, incoming).await }
         })
-        .or(warp::any().map(|| invalid(StatusCode::BAD_REQUEST, "the request makes no sense")))
+        .or(warp::any().map(|| invalid(StatusCode::BAD_REQUEST, "the request is malformed")))
         .unify()
 }
 
@@ -151,7 +151,7 @@
     format!("{path}?{query}")
 }
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// Bytes over the limit are read and discarded, up to [`MAX_DISCARDED_BYTES`]: a caller that is
 /// still writing when the connection closes would see a broken pipe instead of the refusal.
@@ -192,7 +192,7 @@
         .unwrap_or(Err(BodyError::Timeout))
         .map_err(|e| body_refused(&e))?;
     serde_json::from_slice(&body).map_err(|e| {
-        let reason = format!("the body is not the JSON wanted here: {e}");
+        let reason = format!("the body is not the expected JSON: {e}");
         invalid(StatusCode::BAD_REQUEST, reason)
     })
 }
@@ -200,7 +200,13 @@
 pub(super) fn body_refused(error: &BodyError) -> Reply {
     match error {
         BodyError::TooLarge => invalid(StatusCode::PAYLOAD_TOO_LARGE, "the body is over the limit"),
-        BodyError::ConnectionLost => invalid(StatusCode::BAD_REQUEST, "the body was cut"),
-        BodyError::Timeout => invalid(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"),
+        BodyError::ConnectionLost => invalid(
+            StatusCode::BAD_REQUEST,
+            "the connection failed before the whole body was received",
+        ),
+        BodyError::Timeout => invalid(
+            StatusCode::REQUEST_TIMEOUT,
+            "the body was not received in time",
+        ),
     }
 }
--- a/src/entry/link.rs
+++ b/src/entry/link.rs
@@ -54,7 +54,10 @@
         let answer = if self.sent {
             Ok(Answer::Unknown)
         } else {
-            Err(Error::new(Step::Connect, "no control replica leads"))
+            Err(Error::new(
+                Step::Connect,
+                "no leader among the control replicas was reached",
+            ))
         };
         let _ = self.reply.send(answer);
     }
@@ -137,7 +140,7 @@
         match Connection::open(addr, &self.keys, &self.hello).await {
             Ok(connection) => Some(connection),
             Err(e) => {
-                slog::debug!(self.log, "control is not reached"; "error" => %e);
+                slog::debug!(self.log, "connecting to control failed"; "error" => %e);
                 None
             }
         }
--- a/src/entry/peer_dialer.rs
+++ b/src/entry/peer_dialer.rs
@@ -115,11 +115,11 @@
     /// Cancels an attempt at the peer that it was forwarded to.
     pub(super) fn withdraw(&self, attempt: AttemptId) {
         let open = lock(&self.open);
-        let holder = open
+        let connection = open
             .values()
             .find(|o| lock(&o.streams).contains_key(&attempt));
-        if let Some(holder) = holder {
-            let _ = holder
+        if let Some(connection) = connection {
+            let _ = connection
                 .outbox
                 .try_send(PeerMessage::Cancel { stream: attempt });
         }
@@ -306,7 +306,7 @@
         read = read_messages(core, peer, &open, &mut reader, &last_received) => read,
         () = wait_for_silence(&open, &last_received) => {
             metrics::counter!("yuccahold_entry_peer_silent_total").increment(1);
-            Err(Error::new(Step::Transfer, "the connection went silent").with_peer(addr))
+            Err(Error::new(Step::Transfer, "nothing was received in time").with_peer(addr))
         }
     }
 }
--- a/src/entry/peer_server.rs
+++ b/src/entry/peer_server.rs
@@ -73,7 +73,7 @@
     keys: CellKeys,
     load: watch::Receiver<u64>,
 ) -> Result<()> {
-    let late = |_| Error::new(Step::Handshake, "no proof in time");
+    let late = |_| Error::new(Step::Handshake, "the handshake was not completed in time");
     let (mut reader, writer) = tokio::time::timeout(HANDSHAKE_TIMEOUT, accept(stream, &keys))
         .await
         .map_err(late)??;
@@ -81,7 +81,10 @@
         .await
         .map_err(late)??;
     let Some(PeerMessage::Hello { entry, .. }) = hello else {
-        return Err(Error::new(Step::Handshake, "the peer did not say its name"));
+        return Err(Error::new(
+            Step::Handshake,
+            "the peer's first message is not a hello",
+        ));
     };
     let (outbox, rx) = Outbox::new();
     let connection = Arc::new(Connection {
@@ -102,7 +105,7 @@
 
 impl Connection {
     async fn read(self: &Arc<Self>, reader: &mut FrameReader) -> Result<()> {
-        let silent = |_| Error::new(Step::Transfer, "the connection went silent");
+        let silent = |_| Error::new(Step::Transfer, "nothing was received in time");
         loop {
             let message = tokio::time::timeout(SILENCE_TIMEOUT, reader.read()).await;
             let Some(message) = message.map_err(silent)?? else {
--- a/src/routing/minion.rs
+++ b/src/routing/minion.rs
@@ -70,7 +70,7 @@
     /// Slots reserved for abandoned requests that may still be running.
     pub(super) holds: Vec<HeldSlot>,
     /// Whether requests of an earlier owner may still be running, in unknown number. The minion
-    /// gets no requests until a probe has told how many.
+    /// gets no requests until a probe has answered.
     pub(super) settling: bool,
     /// Whether the latest feed names another owner or none.
     pub(super) disowned: bool,
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -384,7 +384,8 @@
                 return;
             };
             if self.is_too_late(now, id) {
-                let reason = CompactString::const_new("too little time was left for the work");
+                let reason =
+                    CompactString::const_new("too little time was left to run the request");
                 self.fail_not_run(now, id, reason, RETRY_AFTER_MIN, out);
                 continue;
             }
