--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -105,10 +105,7 @@
     fn read(headers: &HeaderMap) -> Result<Self, String> {
         let deadline = match text(headers, DEADLINE)? {
             None => None,
-            Some(ms) => Some(
-                ms.parse()
-                    .map_err(|_| format!("{DEADLINE} is not a number"))?,
-            ),
+            Some(ms) => Some(ms.parse().map_err(|_| format!("{DEADLINE} is no number"))?),
         };
         let idempotent = match text(headers, IDEMPOTENT)? {
             None => None,
@@ -145,7 +142,7 @@
 
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, String> {
     let value = headers.get(name).map(HeaderValue::to_str).transpose();
-    value.map_err(|_| format!("{name} contains bytes that are not visible ASCII"))
+    value.map_err(|_| format!("{name} holds bytes that are no text"))
 }
 
 /// Whether a body is refused before any of it is read: it is over the limit, and the caller either
@@ -343,7 +340,7 @@
 }
 
 fn in_progress() -> Reply {
-    let reason = "the request under this key is in progress; retry to get its response";
+    let reason = "the request under this key is in progress; ask again for its answer";
     explained(
         StatusCode::CONFLICT,
         Outcome::Unknown,
--- a/src/entry/daemon.rs
+++ b/src/entry/daemon.rs
@@ -64,10 +64,10 @@
     /// Why the load balancer should not send requests here; none when ready.
     pub(super) fn not_ready(&self) -> Option<&'static str> {
         if self.stopping.load(Ordering::Relaxed) {
-            return Some("the entry host is shutting down");
+            return Some("the entry host stops");
         }
         if !self.has_document() {
-            return Some("no document has been received from control yet");
+            return Some("no document has come from control yet");
         }
         let leased = self.core.read(|router, now| router.is_leased(now));
         (!leased).then_some("the lease from control has lapsed")
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -61,7 +61,7 @@
             };
             async move { answer(&context, incoming).await }
         })
-        .or(warp::any().map(|| invalid(StatusCode::BAD_REQUEST, "the request is malformed")))
+        .or(warp::any().map(|| invalid(StatusCode::BAD_REQUEST, "the request makes no sense")))
         .unify()
 }
 
@@ -192,7 +192,7 @@
         .unwrap_or(Err(BodyError::Timeout))
         .map_err(|e| body_refused(&e))?;
     serde_json::from_slice(&body).map_err(|e| {
-        let reason = format!("the body is not the expected JSON: {e}");
+        let reason = format!("the body is not the JSON wanted here: {e}");
         invalid(StatusCode::BAD_REQUEST, reason)
     })
 }
@@ -200,13 +200,7 @@
 pub(super) fn body_refused(error: &BodyError) -> Reply {
     match error {
         BodyError::TooLarge => invalid(StatusCode::PAYLOAD_TOO_LARGE, "the body is over the limit"),
-        BodyError::ConnectionLost => invalid(
-            StatusCode::BAD_REQUEST,
-            "the connection failed before the whole body was received",
-        ),
-        BodyError::Timeout => invalid(
-            StatusCode::REQUEST_TIMEOUT,
-            "the body was not received in time",
-        ),
+        BodyError::ConnectionLost => invalid(StatusCode::BAD_REQUEST, "the body was cut"),
+        BodyError::Timeout => invalid(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"),
     }
 }
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -26,10 +26,7 @@
 ) -> Reply {
     if let Some(key) = headers.get(IDEMPOTENCY_KEY) {
         let Ok(key) = key.to_str() else {
-            return invalid(
-                StatusCode::BAD_REQUEST,
-                "the idempotency key is not valid text",
-            );
+            return invalid(StatusCode::BAD_REQUEST, "the idempotency key is no text");
         };
         job.key = Some(key.into());
     }
--- a/src/placement/explain.rs
+++ b/src/placement/explain.rs
@@ -67,15 +67,11 @@
         );
         let counts = self.count_rooms(ix, &need);
         if job.spec.class == WorkClass::Gang && job.running > 0 {
-            return format!(
-                "{start}: {} other runs of its gang have to end first.",
-                job.running
-            );
+            return format!("{start}: {} others of its gang end first.", job.running);
         }
         if self.lacks_headroom(ix, &need, 1) {
             return format!(
-                "{start}: room for {} batch tasks of the bands high and urgent is kept free and \
-                 room for {} is left.",
+                "{start}: room for {} quick tasks is kept free and room for {} is left.",
                 self.headroom_slots(),
                 self.cell.quick_slots,
             );
@@ -115,7 +111,7 @@
                 text += &format!(", and room held for it is expected in {wait:.1} s");
             }
             _ if self.cell.job(ix).preemption_holds > 0 => {
-                text += ", and runs are being stopped to make room for it";
+                text += ", and runs of earlier bands are being stopped for it";
             }
             _ => {}
         }
--- a/src/placement/never.rs
+++ b/src/placement/never.rs
@@ -120,7 +120,7 @@
                 spec.zones.join(", ")
             ),
             Self::Accelerator => format!(
-                "none of {workers} otherwise suitable workers has accelerators of type {}",
+                "none of {workers} workers that would do otherwise has accelerators of type {}",
                 spec.accelerator.as_deref().unwrap_or("any")
             ),
             Self::Accelerators => format!(
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -384,8 +384,7 @@
                 return;
             };
             if self.is_too_late(now, id) {
-                let reason =
-                    CompactString::const_new("too little time was left to run the request");
+                let reason = CompactString::const_new("too little time was left for the work");
                 self.fail_not_run(now, id, reason, RETRY_AFTER_MIN, out);
                 continue;
             }
--- a/src/routing/verdicts.rs
+++ b/src/routing/verdicts.rs
@@ -143,7 +143,7 @@
                 if !pending.attempts.is_empty() || self.retry(now, id, out) {
                     return;
                 }
-                let reason = CompactString::const_new("no minion accepted the request");
+                let reason = CompactString::const_new("no minion took the request");
                 let wait = retry_after.unwrap_or_default();
                 self.fail_not_run(now, id, reason, wait, out);
             }
@@ -154,9 +154,7 @@
                 if !pending.attempts.is_empty() || (may_retry && self.retry(now, id, out)) {
                     return;
                 }
-                let reason = CompactString::const_new(
-                    "no complete response arrived; the request may have run",
-                );
+                let reason = CompactString::const_new("the answer was lost on the way");
                 self.fail_unknown(now, id, reason, late, out);
             }
         }
@@ -242,8 +240,7 @@
             if pending.attempts.is_empty() && !pending.may_have_run {
                 self.fail_late(now, id, out);
             } else {
-                let reason =
-                    CompactString::const_new("no complete response arrived before the deadline");
+                let reason = CompactString::const_new("no whole answer came before the deadline");
                 self.fail_unknown(now, id, reason, true, out);
             }
         }
@@ -256,8 +253,7 @@
         };
         pending.cancelled = true;
         if pending.attempts.is_empty() {
-            let reason =
-                CompactString::const_new("the caller disconnected before the request started");
+            let reason = CompactString::const_new("the caller went away before the start");
             return self.fail_not_run(now, id, reason, Duration::ZERO, out);
         }
         // An attempt at a minion continues, because its response proves that the slot is free. At
