--- a/src/replication/core/changes.rs
+++ b/src/replication/core/changes.rs
@@ -1,23 +1,24 @@
-//! The leader's changes of the group: who is followed, and who becomes a voter.
+//! Membership changes made by the leader: progress tracking of members, promotion and removal.
 
 use super::membership::{Health, next_membership};
 use super::progress::Progress;
 use super::{Core, Member, Membership, Payload};
 use crate::ids::{ReplicaId, Timestamp};
 
-/// Entries a learner may be behind when it is promoted.
+/// Most entries by which a learner may trail the log and still be promoted.
 const CAUGHT_UP_LAG: u64 = 64;
-/// Most learners at once.
+/// Most learners at once; further replicas that announce themselves are ignored.
 const MAX_LEARNERS: usize = 4;
 
 impl Core {
-    /// Whether a member has answered this leader, and lately.
+    /// Whether a member has replied to this leader within the last election timeout.
     ///
-    /// A new leader knows nothing of members it has not heard: to count them as alive would let
-    /// it remove a live voter while another is lost, and the group could lose its majority.
+    /// A member that has never replied to a new leader is not active: counting it as alive would
+    /// let the leader remove a live voter while another is lost, and the group could lose its
+    /// majority.
     pub(super) fn is_active(&self, id: ReplicaId, now: Timestamp) -> bool {
         self.progress(id)
-            .is_some_and(|p| p.beat.round > 0 && now < p.active_at + self.cfg.election_timeout)
+            .is_some_and(|p| p.mark.round > 0 && now < p.active_at + self.cfg.election_timeout)
     }
 
     pub(super) fn track_members(&mut self, now: Timestamp) {
@@ -35,18 +36,18 @@
         }
     }
 
-    /// Whether a change of membership may be proposed now.
+    /// Whether a membership change may be proposed now.
     ///
-    /// Majorities of two memberships that are one member apart overlap; of two that are further
-    /// apart they need not, and two leaders could be elected in one term. The change before must
-    /// be committed, and this leader must have committed in its own term.
+    /// Majorities of two memberships that differ by one member overlap; if they differ by more,
+    /// they may not, and two leaders could be elected in one term. Therefore the previous change
+    /// must be committed, and this leader must have committed an entry of its own term.
     fn may_change_membership(&self) -> bool {
-        let settled = self.members_index <= self.commit || !self.cfg.safeguards.one_change;
-        settled
-            && self
-                .leading
-                .as_ref()
-                .is_some_and(|l| l.established || !self.cfg.safeguards.one_change)
+        let previous_committed =
+            self.members_index <= self.commit || !self.cfg.safeguards.one_membership_change;
+        previous_committed
+            && self.leading.as_ref().is_some_and(|l| {
+                l.first_entry_committed || !self.cfg.safeguards.one_membership_change
+            })
     }
 
     pub(super) fn change_membership(&mut self, now: Timestamp) {
@@ -77,14 +78,14 @@
         self.advance_commit(now);
     }
 
-    /// Takes a replica in as a learner, or its new addresses.
+    /// Adds a replica as a learner, or updates the addresses of a voter.
     pub(super) fn on_announce(&mut self, now: Timestamp, from: ReplicaId, member: Member) {
         if !self.may_change_membership() || from == self.cfg.id {
             return;
         }
         let mut next = self.members.clone();
-        if let Some(known) = next.voters.get_mut(&from) {
-            *known = member;
+        if let Some(voter) = next.voters.get_mut(&from) {
+            *voter = member;
         } else {
             next.learners
                 .retain(|id, m| *id == from || m.addr != member.addr);
--- a/src/replication/core/config.rs
+++ b/src/replication/core/config.rs
@@ -1,41 +1,44 @@
-//! What one replica is told when it starts, and the safeguards that tests take away.
+//! Configuration of one replica, and the safeguards that the explorer can disable.
 
 use std::time::Duration;
 
 use super::Member;
 use crate::ids::ReplicaId;
 
-/// Protections that the explorer breaks one at a time to prove that it can fail. All are on
-/// everywhere else.
+/// Protocol rules that the explorer disables one at a time to prove that its checks can fail. All
+/// are enabled everywhere else.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Safeguards {
-    /// Answers and votes leave only after the sync of what they promise.
+    /// Replies and votes are sent only after the state they acknowledge is synced.
     pub(crate) sync_before_answer: bool,
-    /// One vote a term.
+    /// A replica votes for one candidate per term.
     pub(crate) single_vote: bool,
-    /// No vote for a candidate whose log is behind.
+    /// A replica refuses its vote to a candidate whose log is behind its own.
     pub(crate) log_up_to_date: bool,
-    /// No vote within an election timeout after word from a leader, or after a start.
+    /// A replica refuses its vote within an election timeout of a leader's last message, or of its
+    /// own start.
     pub(crate) leader_stickiness: bool,
-    /// A restarted replica gives no vote within an election timeout.
-    pub(crate) restart_waits: bool,
-    /// A leader counts only entries of its own term when it commits.
+    /// A restarted replica refuses its vote for one election timeout, as it may have heard a leader
+    /// just before.
+    pub(crate) no_vote_after_restart: bool,
+    /// A leader commits by counting replicas only for entries of its own term.
     pub(crate) commit_own_term: bool,
     /// A commit needs a majority of all voters.
     pub(crate) commit_majority: bool,
-    /// A follower checks the entry before the ones it takes.
+    /// A follower compares the term of the entry before the ones it appends.
     pub(crate) check_previous: bool,
-    /// A read waits for a heartbeat round that began after it.
+    /// A read waits for a heartbeat round that started after it.
     pub(crate) read_after_round: bool,
-    /// Leadership ends with the time since the quorum's last answers, also over a pause.
+    /// A leader steps down when a quorum has not replied for too long, even if its own process was
+    /// paused meanwhile.
     pub(crate) check_quorum: bool,
-    /// A change of membership waits for the one before it.
-    pub(crate) one_change: bool,
-    /// A wiped disk is a new replica.
+    /// A membership change waits until the previous one is committed.
+    pub(crate) one_membership_change: bool,
+    /// A replica on a wiped disk gets a new id.
     pub(crate) fresh_identity: bool,
-    /// A leader steps down before it asks another to stand.
-    pub(crate) hand_over_ends: bool,
-    /// Time in the entries never goes back.
+    /// A leader steps down before it asks another replica to start an election.
+    pub(crate) step_down_before_transfer: bool,
+    /// Timestamps of log entries never decrease.
     pub(crate) time_forward: bool,
 }
 
@@ -46,37 +49,37 @@
             single_vote: true,
             log_up_to_date: true,
             leader_stickiness: true,
-            restart_waits: true,
+            no_vote_after_restart: true,
             commit_own_term: true,
             commit_majority: true,
             check_previous: true,
             read_after_round: true,
             check_quorum: true,
-            one_change: true,
+            one_membership_change: true,
             fresh_identity: true,
-            hand_over_ends: true,
+            step_down_before_transfer: true,
             time_forward: true,
         }
     }
 }
 
-/// Fixed values of one replica.
+/// Settings of one replica; they don't change while it runs.
 #[derive(Clone, Debug)]
 pub(crate) struct CoreConfig {
     pub(crate) id: ReplicaId,
     pub(crate) member: Member,
-    /// Shortest silence of a leader before an election; a random share of it is added.
+    /// Shortest time without a leader's message before an election; a random part is added.
     pub(crate) election_timeout: Duration,
     pub(crate) heartbeat: Duration,
-    /// Bytes of log that cause a snapshot.
+    /// Size of the log in bytes above which a snapshot is taken.
     pub(crate) snapshot_bytes: u64,
-    /// Silence after which a member is replaced.
+    /// Time without a reply after which a member is replaced.
     pub(crate) replace_after: Duration,
-    /// Voters wanted.
+    /// Number of voters that membership changes work towards.
     pub(crate) target_voters: usize,
     /// Most bytes of entries in one message.
     pub(crate) append_bytes: u64,
-    /// Bytes of a snapshot in one message.
+    /// Most bytes of a snapshot in one message.
     pub(crate) chunk_bytes: usize,
     pub(crate) safeguards: Safeguards,
 }
--- a/src/replication/core/election.rs
+++ b/src/replication/core/election.rs
@@ -1,56 +1,56 @@
-//! Elections: pre-vote, votes, and giving leadership up.
+//! Elections: pre-vote, votes, and stepping down.
 
 use super::{Body, Core, HardState, Message, PRE_VOTE_PAUSE, Role};
 use crate::ids::{LogIndex, ReplicaId, Term, Timestamp};
 
 impl Core {
-    /// Whether a message of a higher term makes this replica follow that term.
+    /// Whether to process a message of a higher term. Adopts that term, except for a pre-vote.
     ///
-    /// A replica that hears a leader ignores a candidate, or else one that returns from a cut
-    /// with a higher term would depose a leader that works.
-    pub(super) fn adopts_term(&mut self, now: Timestamp, message: &Message) -> bool {
+    /// A vote request is ignored within the leader lease. Otherwise a replica that returns from a
+    /// network partition with a higher term would depose a working leader.
+    pub(super) fn accepts_term(&mut self, now: Timestamp, message: &Message) -> bool {
         match &message.body {
             Body::PreVote { .. } | Body::PreVoteReply { granted: true } => true,
             Body::Vote {
-                handed_over: false, ..
-            } if self.hears_leader(now) => false,
+                transfer: false, ..
+            } if self.in_leader_lease(now) => false,
             _ => {
-                self.adopt(now, message.term);
+                self.adopt_term(now, message.term);
                 true
             }
         }
     }
 
-    fn adopt(&mut self, now: Timestamp, term: Term) {
+    fn adopt_term(&mut self, now: Timestamp, term: Term) {
         self.set_hard(HardState {
             term,
             voted_for: None,
         });
-        self.rest(now, None);
+        self.step_down(now, None);
     }
 
-    /// Whether a leader may still count on this replica's loyalty.
+    /// Whether a leader may still rely on this replica not voting for another candidate.
     ///
-    /// The leader's confirmation lasts for one election timeout from its heartbeat, so no vote
-    /// may be given within one after it was heard. A restarted replica does not know what it
-    /// heard before and waits as long.
-    pub(super) fn hears_leader(&self, now: Timestamp) -> bool {
+    /// A leader's lease lasts for less than one election timeout from its heartbeat, so a replica
+    /// must not vote within one election timeout of the last message from a leader. A restarted
+    /// replica has lost the time of that message and waits for a whole timeout.
+    pub(super) fn in_leader_lease(&self, now: Timestamp) -> bool {
         if !self.cfg.safeguards.leader_stickiness {
             return false;
         }
         if self.leading.is_some() {
             return true;
         }
-        let alone = self.members.voters.len() == 1 && self.is_voter();
-        !alone && now < self.heard_at + self.cfg.election_timeout
+        let sole_voter = self.members.voters.len() == 1 && self.is_voter();
+        !sole_voter && now < self.leader_heard_at + self.cfg.election_timeout
     }
 
-    /// Ceases to lead or to stand, and follows `leader` if there is one.
-    pub(super) fn rest(&mut self, now: Timestamp, leader: Option<ReplicaId>) {
-        if self.leading.take().is_some_and(|l| l.established) {
+    /// Ends leadership or candidacy and follows `leader`, if given.
+    pub(super) fn step_down(&mut self, now: Timestamp, leader: Option<ReplicaId>) {
+        if self.leading.take().is_some_and(|l| l.first_entry_committed) {
             self.effects.push(super::Effect::Leadership(false));
         }
-        self.role = self.resting_role();
+        self.role = self.non_leader_role();
         self.leader = leader;
         self.votes.clear();
         self.postpone_election(now);
@@ -61,9 +61,9 @@
         self.leader = None;
         self.votes.clear();
         self.votes.insert(self.cfg.id);
-        self.ask_within(now, PRE_VOTE_PAUSE);
+        self.schedule_pre_vote(now, PRE_VOTE_PAUSE);
         if self.members.is_quorum(self.votes.iter().copied()) {
-            self.stand(now, false);
+            self.start_election(now, false);
             return;
         }
         let body = Body::PreVote {
@@ -73,7 +73,7 @@
         self.send_to_voters(&body);
     }
 
-    fn stand(&mut self, now: Timestamp, handed_over: bool) {
+    fn start_election(&mut self, now: Timestamp, transfer: bool) {
         self.role = Role::Candidate;
         self.leader = None;
         self.votes.clear();
@@ -85,7 +85,7 @@
         let body = Body::Vote {
             last_index: self.log.last_index(),
             last_term: self.log.last_term(),
-            handed_over,
+            transfer,
         };
         self.send_after_sync(self.cfg.id, Body::VoteReply { granted: true });
         self.send_to_voters(&body);
@@ -113,7 +113,8 @@
         term: Term,
         last: (Term, LogIndex),
     ) {
-        let granted = term >= self.hard.term && !self.hears_leader(now) && self.is_up_to_date(last);
+        let granted =
+            term >= self.hard.term && !self.in_leader_lease(now) && self.is_up_to_date(last);
         self.send(from, Body::PreVoteReply { granted });
     }
 
@@ -129,7 +130,7 @@
         }
         self.votes.insert(from);
         if self.members.is_quorum(self.votes.iter().copied()) {
-            self.stand(now, false);
+            self.start_election(now, false);
         }
     }
 
@@ -139,13 +140,16 @@
         from: ReplicaId,
         term: Term,
         last: (Term, LogIndex),
-        handed_over: bool,
+        transfer: bool,
     ) {
-        let free =
+        let may_vote =
             self.hard.voted_for.is_none_or(|id| id == from) || !self.cfg.safeguards.single_vote;
-        let loyal = !handed_over && self.hears_leader(now);
-        let granted =
-            term == self.hard.term && free && !loyal && self.is_up_to_date(last) && !self.disk_full;
+        let in_lease = !transfer && self.in_leader_lease(now);
+        let granted = term == self.hard.term
+            && may_vote
+            && !in_lease
+            && self.is_up_to_date(last)
+            && !self.disk_full;
         if granted && self.leading.is_none() {
             self.set_hard(HardState {
                 term,
@@ -172,10 +176,11 @@
         }
     }
 
-    /// The old leader has stepped down for this replica: no pre-vote is needed.
+    /// Starts an election without a pre-vote: the old leader has stepped down to transfer
+    /// leadership to this replica.
     pub(super) fn on_timeout_now(&mut self, now: Timestamp, term: Term) {
         if term == self.hard.term && self.is_voter() && self.leading.is_none() && !self.disk_full {
-            self.stand(now, true);
+            self.start_election(now, true);
         }
     }
 }
--- a/src/replication/core/follower.rs
+++ b/src/replication/core/follower.rs
@@ -1,21 +1,22 @@
-//! The follower's side: taking entries and snapshots from a leader.
+//! The follower's side of replication: entries and snapshots from a leader.
 
 use std::sync::Arc;
 
 use bytes::BytesMut;
 
-use super::{Beat, Body, Core, Effect, Entry, HardState, Role, Snapshot};
+use super::{Body, Core, Effect, Entry, HardState, HeartbeatMark, Role, Snapshot};
 use crate::ids::{LogIndex, ReplicaId, Term, Timestamp};
 
-/// A snapshot that arrives in parts.
-pub(super) struct Incoming {
+/// A snapshot being received in parts.
+pub(super) struct IncomingSnapshot {
     index: LogIndex,
     term: Term,
     data: BytesMut,
 }
 
 impl Core {
-    /// Takes a leader's message; one of an older term is told the present one.
+    /// Handles a leader's message. A leader of an older term gets a rejection, which carries the
+    /// current term.
     pub(super) fn on_leader_message(
         &mut self,
         now: Timestamp,
@@ -27,7 +28,7 @@
             let reply = Body::Rejected {
                 prev_index: 0,
                 hint: 0,
-                beat: Beat::default(),
+                mark: HeartbeatMark::default(),
             };
             self.send_after_sync(from, reply);
             return;
@@ -35,10 +36,10 @@
         if self.leading.is_some() {
             return;
         }
-        if self.role != self.resting_role() || self.leader != Some(from) {
-            self.rest(now, Some(from));
+        if self.role != self.non_leader_role() || self.leader != Some(from) {
+            self.step_down(now, Some(from));
         }
-        self.heard_at = now;
+        self.leader_heard_at = now;
         self.postpone_election(now);
         match body {
             Body::Append {
@@ -46,12 +47,12 @@
                 prev_term,
                 entries,
                 commit,
-                beat,
-            } => self.on_append(from, (prev_index, prev_term), entries, commit, beat),
+                mark,
+            } => self.on_append(from, (prev_index, prev_term), entries, commit, mark),
             Body::Chunk { .. } => self.on_chunk(from, body),
             _ => {}
         }
-        self.role = self.resting_role();
+        self.role = self.non_leader_role();
     }
 
     fn on_append(
@@ -60,36 +61,36 @@
         (prev_index, prev_term): (LogIndex, Term),
         entries: Vec<Entry>,
         commit: LogIndex,
-        beat: Beat,
+        mark: HeartbeatMark,
     ) {
-        if !self.agrees(prev_index, prev_term) {
+        if !self.log_matches(prev_index, prev_term) {
             let hint = self.last_possible_match(prev_index);
             let reply = Body::Rejected {
                 prev_index,
                 hint,
-                beat,
+                mark,
             };
             self.send_after_sync(from, reply);
             return;
         }
         let is_heartbeat = entries.is_empty();
         let matched = prev_index + entries.len() as u64;
-        self.take_entries(entries);
+        self.merge_entries(entries);
         let matched = matched.min(self.log.last_index());
         self.commit = self.commit.max(commit.min(matched));
         self.apply_committed();
         if is_heartbeat {
-            // Answered at once, for what is synced: a slow disk must not look like a lost
-            // follower.
+            // Replies at once with the last synced entry, so that a slow disk does not make the
+            // follower look lost.
             let matched = matched.min(self.stable);
-            self.send(from, Body::Accepted { matched, beat });
+            self.send(from, Body::Accepted { matched, mark });
         } else {
-            self.send_after_sync(from, Body::Accepted { matched, beat });
+            self.send_after_sync(from, Body::Accepted { matched, mark });
         }
     }
 
-    fn agrees(&self, prev_index: LogIndex, prev_term: Term) -> bool {
-        // What is committed agrees with every leader's log.
+    fn log_matches(&self, prev_index: LogIndex, prev_term: Term) -> bool {
+        // Committed entries are the same in every leader's log.
         if prev_index <= self.commit {
             return true;
         }
@@ -114,7 +115,7 @@
         hint
     }
 
-    fn take_entries(&mut self, entries: Vec<Entry>) {
+    fn merge_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             if entry.index <= self.log.base().0 || entry.index <= self.commit {
                 continue;
@@ -139,26 +140,26 @@
             offset,
             total,
             data,
-            beat,
+            mark,
         } = body
         else {
             return;
         };
         if index <= self.commit {
             let matched = self.commit;
-            self.send_after_sync(from, Body::Accepted { matched, beat });
+            self.send_after_sync(from, Body::Accepted { matched, mark });
             return;
         }
-        let incoming = self.incoming_part(index, snapshot_term);
+        let incoming = self.incoming_snapshot(index, snapshot_term);
         if incoming.data.len() as u64 == offset {
             incoming.data.extend_from_slice(&data);
         }
-        let have = incoming.data.len() as u64;
-        if have < total {
+        let received = incoming.data.len() as u64;
+        if received < total {
             let reply = Body::ChunkWanted {
                 index,
-                offset: have,
-                beat,
+                offset: received,
+                mark,
             };
             self.send(from, reply);
             return;
@@ -175,12 +176,12 @@
             from,
             Body::Accepted {
                 matched: index,
-                beat,
+                mark,
             },
         );
     }
 
-    fn incoming_part(&mut self, index: LogIndex, term: Term) -> &mut Incoming {
+    fn incoming_snapshot(&mut self, index: LogIndex, term: Term) -> &mut IncomingSnapshot {
         let same = self
             .incoming
             .as_ref()
@@ -188,7 +189,7 @@
         if !same {
             self.incoming = None;
         }
-        self.incoming.get_or_insert_with(|| Incoming {
+        self.incoming.get_or_insert_with(|| IncomingSnapshot {
             index,
             term,
             data: BytesMut::new(),
@@ -210,8 +211,8 @@
         self.effects.push(Effect::Restore(snapshot));
     }
 
-    /// Makes this replica the only voter. The operator's last resort: entries that only the lost
-    /// replicas held are gone.
+    /// Makes this replica the only voter, for an operator to recover from a permanent loss of the
+    /// quorum. Entries that only the lost replicas held are lost.
     pub(crate) fn force_group_of_one(&mut self, now: Timestamp) {
         self.set_hard(HardState {
             term: self.hard.term + 1,
--- a/src/replication/core/leader.rs
+++ b/src/replication/core/leader.rs
@@ -1,39 +1,43 @@
-//! The leader's side: proposals, replication, commitment and reads.
+//! The leader's side: proposals, replication, commits, reads and leadership transfer.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::Bytes;
 
 use super::progress::{MAX_IN_FLIGHT, Mode, Progress};
-use super::{Beat, Body, Core, Effect, Entry, Payload, ReadId, Refused, Role};
+use super::{Body, Core, Effect, Entry, HeartbeatMark, Payload, ReadId, Refused, Role};
 use crate::ids::{LogIndex, ReplicaId, Term, Timestamp};
 
-/// Share of the election timeout for which a heartbeat's answer confirms leadership. The rest
-/// covers clocks that run at different rates.
-const CONFIRMED_SHARE: f64 = 0.9;
+/// Length of the leader lease as a share of the election timeout, counted from the send time of an
+/// answered heartbeat. The rest allows for clocks that run at different rates.
+const LEASE_SHARE: f64 = 0.9;
 
 /// State that exists only while this replica leads.
-pub(super) struct Leading {
+pub(super) struct LeaderState {
     pub(super) progress: BTreeMap<ReplicaId, Progress>,
     began_at: Timestamp,
-    /// The entry that opened this term.
+    /// Index of the no-op entry with which this leadership started.
     first_index: LogIndex,
-    /// That entry is committed.
-    pub(super) established: bool,
+    /// That entry is committed, so the state machine has applied everything before it.
+    pub(super) first_entry_committed: bool,
+    /// Number of the latest heartbeat round.
     round: u64,
-    pub(super) beat_at: Timestamp,
+    pub(super) next_heartbeat_at: Timestamp,
     reads: VecDeque<Read>,
-    next_read: ReadId,
-    handing_over: Option<HandOver>,
+    /// Number of the latest read.
+    last_read: ReadId,
+    transfer: Option<LeadershipTransfer>,
 }
 
 struct Read {
     id: ReadId,
+    /// Heartbeat round that a majority must answer first.
     round: u64,
+    /// Entry that must be applied first.
     index: LogIndex,
 }
 
-struct HandOver {
+struct LeadershipTransfer {
     to: ReplicaId,
     until: Timestamp,
 }
@@ -43,20 +47,20 @@
         self.role = Role::Leader;
         self.leader = Some(self.cfg.id);
         let last = self.log.last_index();
-        self.leading = Some(Leading {
+        self.leading = Some(LeaderState {
             progress: BTreeMap::new(),
             began_at: now,
             first_index: last + 1,
-            established: false,
+            first_entry_committed: false,
             round: 0,
-            beat_at: now,
+            next_heartbeat_at: now,
             reads: VecDeque::new(),
-            next_read: 0,
-            handing_over: None,
+            last_read: 0,
+            transfer: None,
         });
         self.track_members(now);
         self.append(Payload::Noop, self.log.last_at());
-        self.beat(now);
+        self.start_heartbeat_round(now);
         self.advance_commit(now);
     }
 
@@ -75,7 +79,7 @@
         index
     }
 
-    /// Appends a command; `unix` is the present Unix time.
+    /// Appends a command. `unix` is the current Unix time.
     pub(crate) fn propose(
         &mut self,
         now: Timestamp,
@@ -86,25 +90,21 @@
         if self.disk_full {
             return Err(Refused::DiskFull);
         }
-        if self
-            .leading
-            .as_ref()
-            .is_none_or(|l| l.handing_over.is_some())
-        {
+        if self.leading.as_ref().is_none_or(|l| l.transfer.is_some()) {
             return Err(Refused::NotLeader);
         }
         Ok(self.append(Payload::Command(command.into()), unix))
     }
 
-    /// Sends what was proposed since the last call. Separate from `propose` so that a burst of
-    /// proposals travels together.
+    /// Sends the entries appended since the last call. Separate from `propose` so that several
+    /// proposals are sent in one message.
     pub(crate) fn replicate(&mut self, now: Timestamp) {
         for id in self.other_members() {
-            self.feed(id, now);
+            self.replicate_to(id, now);
         }
     }
 
-    /// Starts a read; `ReadsReady` with its number or a later one tells that it may run.
+    /// Starts a read, which may run after a `ReadsReady` with its number or a higher one.
     pub(crate) fn read(&mut self, now: Timestamp) -> Result<ReadId, Refused> {
         self.check_leadership(now);
         let acked = self.acked_round();
@@ -113,11 +113,11 @@
         let Some(leading) = &mut self.leading else {
             return Err(Refused::NotLeader);
         };
-        if leading.handing_over.is_some() {
+        if leading.transfer.is_some() {
             return Err(Refused::NotLeader);
         }
-        leading.next_read += 1;
-        let id = leading.next_read;
+        leading.last_read += 1;
+        let id = leading.last_read;
         let idle = leading.reads.is_empty() || acked >= leading.round;
         let round = if read_now { 0 } else { leading.round + 1 };
         leading.reads.push_back(Read {
@@ -126,24 +126,26 @@
             index: commit.max(leading.first_index),
         });
         if idle {
-            self.beat(now);
+            self.start_heartbeat_round(now);
         }
         self.release_reads(now);
         Ok(id)
     }
 
-    /// Whether this replica may act as the leader at `now`.
+    /// Whether this replica holds the leader lease at `now` and so may act as the leader.
     pub(crate) fn is_confirmed(&self, now: Timestamp) -> bool {
-        self.leading.as_ref().is_some_and(|l| l.established)
-            && (!self.cfg.safeguards.check_quorum || now < self.confirmed_until(now))
+        self.leading
+            .as_ref()
+            .is_some_and(|l| l.first_entry_committed)
+            && (!self.cfg.safeguards.check_quorum || now < self.lease_until(now))
     }
 
-    /// End of the time for which a majority has promised not to elect another leader.
-    fn confirmed_until(&self, now: Timestamp) -> Timestamp {
-        let heard = self
+    /// End of the leader lease: until then, a majority does not vote for another leader.
+    fn lease_until(&self, now: Timestamp) -> Timestamp {
+        let sent_at = self
             .members
-            .quorum_value(|id| self.progress(id).map_or(now, |p| p.beat.sent_at));
-        heard + self.cfg.election_timeout.mul_f64(CONFIRMED_SHARE)
+            .quorum_value(|id| self.progress(id).map_or(now, |p| p.mark.sent_at));
+        sent_at + self.cfg.election_timeout.mul_f64(LEASE_SHARE)
     }
 
     pub(super) fn progress(&self, id: ReplicaId) -> Option<&Progress> {
@@ -152,21 +154,22 @@
 
     fn acked_round(&self) -> u64 {
         self.members
-            .quorum_value(|id| self.progress(id).map_or(u64::MAX, |p| p.beat.round))
+            .quorum_value(|id| self.progress(id).map_or(u64::MAX, |p| p.mark.round))
     }
 
-    /// Gives leadership up once a majority has been silent for too long.
+    /// Steps down once the leader lease has expired.
     ///
-    /// Called first on every event with the time of that event: a replica that wakes from a
-    /// pause finds here that another may lead by now, before anything of what it held leaves.
+    /// Every event calls this first, with the time of the event. A replica that resumes after a
+    /// pause thus steps down before it sends any message that it prepared as leader, as another
+    /// replica may lead by now.
     pub(super) fn check_leadership(&mut self, now: Timestamp) {
         let Some(leading) = &self.leading else { return };
         if !self.cfg.safeguards.check_quorum {
             return;
         }
-        let grace = leading.began_at + self.cfg.election_timeout;
-        if now >= self.confirmed_until(now) && now >= grace {
-            self.rest(now, None);
+        let grace_until = leading.began_at + self.cfg.election_timeout;
+        if now >= self.lease_until(now) && now >= grace_until {
+            self.step_down(now, None);
         }
     }
 
@@ -174,26 +177,26 @@
         let Some(leading) = &mut self.leading else {
             return;
         };
-        if now >= leading.beat_at {
+        if now >= leading.next_heartbeat_at {
             for progress in leading.progress.values_mut() {
-                progress.waits = false;
+                progress.awaiting_reply = false;
             }
-            self.beat(now);
+            self.start_heartbeat_round(now);
         }
         self.change_membership(now);
-        self.continue_hand_over(now);
+        self.continue_transfer(now);
     }
 
-    /// Starts a heartbeat round.
-    fn beat(&mut self, now: Timestamp) {
+    /// Starts a heartbeat round: every member gets entries or a heartbeat.
+    fn start_heartbeat_round(&mut self, now: Timestamp) {
         let heartbeat = self.cfg.heartbeat;
         let Some(leading) = &mut self.leading else {
             return;
         };
         leading.round += 1;
-        leading.beat_at = now + heartbeat;
+        leading.next_heartbeat_at = now + heartbeat;
         for id in self.other_members() {
-            if !self.feed(id, now) {
+            if !self.replicate_to(id, now) {
                 self.send_heartbeat(id, now);
             }
         }
@@ -205,24 +208,25 @@
         self.members.ids().filter(|id| *id != own).collect()
     }
 
-    fn beat_mark(&self, now: Timestamp) -> Beat {
-        Beat {
+    fn heartbeat_mark(&self, now: Timestamp) -> HeartbeatMark {
+        HeartbeatMark {
             round: self.leading.as_ref().map_or(0, |l| l.round),
             sent_at: now,
         }
     }
 
-    /// Sends a member what it lacks; whether anything was sent.
-    fn feed(&mut self, id: ReplicaId, now: Timestamp) -> bool {
+    /// Sends a member the entries or snapshot parts that it lacks, and returns whether anything was
+    /// sent.
+    fn replicate_to(&mut self, id: ReplicaId, now: Timestamp) -> bool {
         let mut sent = false;
-        while self.feed_once(id, now) {
+        while self.send_next_to(id, now) {
             sent = true;
         }
         sent
     }
 
-    fn feed_once(&mut self, id: ReplicaId, now: Timestamp) -> bool {
-        let beat = self.beat_mark(now);
+    fn send_next_to(&mut self, id: ReplicaId, now: Timestamp) -> bool {
+        let mark = self.heartbeat_mark(now);
         let Some(leading) = &mut self.leading else {
             return false;
         };
@@ -234,18 +238,18 @@
                 index: self.log.snapshot().index,
                 offset: 0,
             };
-            progress.waits = false;
+            progress.awaiting_reply = false;
         }
-        let room = match progress.mode {
+        let may_send = match progress.mode {
             Mode::Stream => progress.in_flight.len() < MAX_IN_FLIGHT,
-            Mode::Probe | Mode::Snapshot { .. } => !progress.waits,
+            Mode::Probe | Mode::Snapshot { .. } => !progress.awaiting_reply,
         };
-        if !room {
+        if !may_send {
             return false;
         }
         if matches!(progress.mode, Mode::Snapshot { .. }) {
-            progress.waits = true;
-            self.send_chunk(id, beat);
+            progress.awaiting_reply = true;
+            self.send_chunk(id, mark);
             return true;
         }
         if progress.next > self.log.last_index() {
@@ -259,9 +263,9 @@
                 progress.next = last + 1;
                 progress.in_flight.push_back(last);
             }
-            _ => progress.waits = true,
+            _ => progress.awaiting_reply = true,
         }
-        self.send_append(id, prev_index, entries, beat);
+        self.send_append(id, prev_index, entries, mark);
         true
     }
 
@@ -270,7 +274,7 @@
         id: ReplicaId,
         prev_index: LogIndex,
         entries: Vec<Entry>,
-        beat: Beat,
+        mark: HeartbeatMark,
     ) {
         let Some(prev_term) = self.log.term_at(prev_index) else {
             return;
@@ -281,13 +285,13 @@
             prev_term,
             entries,
             commit,
-            beat,
+            mark,
         };
         self.send(id, body);
     }
 
     fn send_heartbeat(&mut self, id: ReplicaId, now: Timestamp) {
-        let beat = self.beat_mark(now);
+        let mark = self.heartbeat_mark(now);
         let Some(progress) = self.progress(id) else {
             return;
         };
@@ -295,10 +299,10 @@
             Mode::Snapshot { .. } => return,
             _ => progress.next - 1,
         };
-        self.send_append(id, prev_index, Vec::new(), beat);
+        self.send_append(id, prev_index, Vec::new(), mark);
     }
 
-    fn send_chunk(&mut self, id: ReplicaId, beat: Beat) {
+    fn send_chunk(&mut self, id: ReplicaId, mark: HeartbeatMark) {
         let snapshot = self.log.snapshot().clone();
         let size = self.cfg.chunk_bytes;
         let Some(progress) = self.leading.as_mut().and_then(|l| l.progress.get_mut(&id)) else {
@@ -308,7 +312,7 @@
             return;
         };
         if *index != snapshot.index {
-            // A newer snapshot took its place: begin again with that.
+            // A newer snapshot has replaced the one being sent: start over with the new one.
             *index = snapshot.index;
             *offset = 0;
         }
@@ -323,7 +327,7 @@
             offset,
             total: snapshot.data.len() as u64,
             data: snapshot.data.slice(from..to),
-            beat,
+            mark,
         };
         self.send(id, body);
     }
@@ -346,42 +350,42 @@
             return;
         };
         progress.active_at = now;
-        let beat = match body {
-            Body::Accepted { matched, beat } => {
+        let mark = match body {
+            Body::Accepted { matched, mark } => {
                 progress.accepted(matched);
-                beat
+                mark
             }
             Body::Rejected {
                 prev_index,
                 hint,
-                beat,
+                mark,
             } => {
                 progress.rejected(prev_index, hint);
-                beat
+                mark
             }
             Body::ChunkWanted {
                 index,
                 offset: wanted,
-                beat,
+                mark,
             } => {
                 if let Mode::Snapshot { index: i, offset } = &mut progress.mode
                     && *i == index
                 {
                     *offset = wanted;
-                    progress.waits = false;
+                    progress.awaiting_reply = false;
                 }
-                beat
+                mark
             }
             _ => return,
         };
-        progress.beat = progress.beat.max(beat);
+        progress.mark = progress.mark.max(mark);
         self.advance_commit(now);
-        self.feed(from, now);
+        self.replicate_to(from, now);
         self.release_reads(now);
-        self.continue_hand_over(now);
+        self.continue_transfer(now);
     }
 
-    /// Commits what a majority has synced.
+    /// Commits the entries that a majority has synced.
     pub(super) fn advance_commit(&mut self, now: Timestamp) {
         if self.leading.is_none() {
             return;
@@ -393,30 +397,32 @@
         } else {
             stable
         };
-        // An entry of an earlier term may be held by a majority and still be overwritten by a
-        // leader that never saw it; it is safe only under an entry of this term.
+        // An entry of an earlier term may be on a majority of replicas and still be overwritten by
+        // a later leader that lacks it. It is safe only once an entry of this term after it is on
+        // a majority.
         let own_term = self.log.term_at(reached) == Some(self.hard.term)
             || !self.cfg.safeguards.commit_own_term;
         if reached > self.commit && own_term {
             self.commit = reached;
             self.apply_committed();
-            self.establish();
+            self.note_first_commit();
             self.release_reads(now);
         }
     }
 
-    fn establish(&mut self) {
+    fn note_first_commit(&mut self) {
         let commit = self.commit;
         let Some(leading) = &mut self.leading else {
             return;
         };
-        if !leading.established && commit >= leading.first_index {
-            leading.established = true;
+        if !leading.first_entry_committed && commit >= leading.first_index {
+            leading.first_entry_committed = true;
             self.effects.push(Effect::Leadership(true));
         }
     }
 
-    /// Lets reads run whose round a majority has answered and whose entries are applied.
+    /// Releases the reads whose heartbeat round a majority has answered and whose entries are
+    /// applied.
     fn release_reads(&mut self, now: Timestamp) {
         let acked = self.acked_round();
         let applied = self.applied;
@@ -443,12 +449,13 @@
             self.effects.push(Effect::ReadsReady(id));
         }
         if waiting && idle {
-            self.beat(now);
+            self.start_heartbeat_round(now);
         }
     }
 
-    /// Starts handing leadership to the voter that holds most of the log.
-    pub(crate) fn hand_over(&mut self, now: Timestamp) {
+    /// Starts a transfer of leadership to the active voter with the most entries. No proposal or
+    /// read is accepted until the transfer succeeds or one election timeout has passed.
+    pub(crate) fn transfer_leadership(&mut self, now: Timestamp) {
         let until = now + self.cfg.election_timeout;
         let own = self.cfg.id;
         let voters = self.members.voters.keys().filter(|id| **id != own);
@@ -456,32 +463,32 @@
         let best = active.max_by_key(|id| self.progress(**id).map(|p| p.matched));
         let Some(to) = best.copied() else { return };
         if let Some(leading) = &mut self.leading {
-            leading.handing_over = Some(HandOver { to, until });
+            leading.transfer = Some(LeadershipTransfer { to, until });
         }
-        self.continue_hand_over(now);
+        self.continue_transfer(now);
     }
 
-    fn continue_hand_over(&mut self, now: Timestamp) {
+    fn continue_transfer(&mut self, now: Timestamp) {
         let last = self.log.last_index();
         let all_committed = self.commit == last;
         let Some(leading) = &mut self.leading else {
             return;
         };
-        let Some(HandOver { to, until }) = leading.handing_over else {
+        let Some(LeadershipTransfer { to, until }) = leading.transfer else {
             return;
         };
         if now >= until {
-            leading.handing_over = None;
+            leading.transfer = None;
             return;
         }
         let complete = leading.progress.get(&to).is_some_and(|p| p.matched == last);
         if complete && all_committed {
-            leading.handing_over = None;
-            // Leadership ends here, before the message can leave: the receiver's election is
-            // not held back by the promise that followers gave to this leader.
+            leading.transfer = None;
+            // Steps down before the message can be sent: voters ignore this leader's lease in the
+            // receiver's election.
             self.send(to, Body::TimeoutNow);
-            if self.cfg.safeguards.hand_over_ends {
-                self.rest(now, None);
+            if self.cfg.safeguards.step_down_before_transfer {
+                self.step_down(now, None);
             }
         }
     }
--- a/src/replication/core/log.rs
+++ b/src/replication/core/log.rs
@@ -1,4 +1,4 @@
-//! Entries of the replicated log and the part of it that is held in memory.
+//! Entries of the replicated log, and the part of the log kept in memory.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,30 +9,30 @@
 use super::membership::Membership;
 use crate::ids::{LogIndex, ReplicaId, Term, Timestamp};
 
-/// What must survive besides the entries: the term and the vote cast in it.
+/// Persistent state besides the log: the term, and the vote cast in it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// Highest term seen.
     pub term: Term,
-    /// Replica voted for in that term.
+    /// Replica voted for in that term; `None` before a vote.
     pub voted_for: Option<ReplicaId>,
 }
 
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Position, from 1.
+    /// Position in the log, counted from 1.
     pub index: LogIndex,
     /// Term of the leader that appended it.
     pub term: Term,
-    /// That leader's Unix time; never less than the entry's before it.
+    /// That leader's Unix time; never lower than that of the entry before.
     pub at: Timestamp,
-    /// What it does.
+    /// Effect of the entry once it is committed.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Rough size in memory and on disk, in bytes.
+    /// Approximate size in memory and on disk, in bytes.
     pub fn size(&self) -> u64 {
         const OVERHEAD: usize = 32;
         let payload = match &self.payload {
@@ -44,37 +44,38 @@
     }
 }
 
-/// What an entry does.
+/// Content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing; opens a leader's term.
+    /// No effect; a new leader appends it so that it can commit in its own term.
     Noop,
-    /// A command of the state machine.
+    /// A command for the state machine.
     Command(Bytes),
-    /// The membership from here on; in force as soon as it is appended.
+    /// A new membership; in force as soon as the entry is appended, before it is committed.
     Members(Membership),
 }
 
-/// The state machine's whole state after one entry.
+/// The state machine's whole state after a given entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Last entry contained.
+    /// Index of the last entry included; 0 when there is no snapshot.
     pub index: LogIndex,
-    /// Its term.
+    /// Term of that entry.
     pub term: Term,
-    /// Its time.
+    /// Unix time of that entry.
     pub at: Timestamp,
-    /// Membership after it.
+    /// Membership after that entry.
     pub members: Membership,
-    /// The machine's own encoding.
+    /// State in the state machine's own encoding.
     pub data: Bytes,
 }
 
-/// The log from the snapshot on.
+/// The newest snapshot, and the entries after `base`. Some entries before the snapshot are kept so
+/// that a follower that is slightly behind needs no snapshot.
 #[derive(Debug, Default)]
 pub(crate) struct Log {
     snapshot: Arc<Snapshot>,
-    /// Last entry that is no longer held; the snapshot reaches at least to it.
+    /// Index and term of the last entry removed; the snapshot includes it.
     base: (LogIndex, Term),
     entries: VecDeque<Entry>,
     bytes: u64,
@@ -127,7 +128,8 @@
         self.entries.get(offset as usize)
     }
 
-    /// Term of an entry, of the last one cut away too; `None` outside of that.
+    /// Term of an entry; also of the last entry removed and of the snapshot's last entry. `None` for
+    /// any other.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.base.0 {
             return Some(self.base.1);
@@ -138,7 +140,7 @@
         self.get(index).map(|e| e.term)
     }
 
-    /// Entries from `from` on, up to about `max_bytes`, at least one if there is one.
+    /// Entries from `from` on, up to `max_bytes` in total but at least one, if there is one.
     pub(crate) fn slice(&self, from: LogIndex, max_bytes: u64) -> Vec<Entry> {
         let Some(offset) = from.checked_sub(self.base.0 + 1) else {
             return Vec::new();
@@ -166,7 +168,7 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from `from` on.
+    /// Removes the entries from `from` on.
     pub(crate) fn truncate(&mut self, from: LogIndex) {
         while self.entries.back().is_some_and(|e| e.index >= from) {
             let dropped = self.entries.pop_back().expect("checked above");
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Newest membership in the log at or before `upto`, with its index.
+    /// The membership in force at entry `upto`, with the index of its entry.
     pub(crate) fn members(&self, upto: LogIndex) -> (LogIndex, Membership) {
         let newest = self.entries.iter().rev().filter(|e| e.index <= upto);
         for entry in newest {
@@ -188,7 +190,7 @@
         (self.snapshot.index, self.snapshot.members.clone())
     }
 
-    /// Takes a newer snapshot of this log's own prefix and cuts entries at or before `keep_after`.
+    /// Stores a newer snapshot of this log's own prefix and removes entries up to `keep_after`.
     pub(crate) fn cut(&mut self, snapshot: Arc<Snapshot>, keep_after: LogIndex) {
         let keep_after = keep_after.min(snapshot.index);
         self.snapshot = snapshot;
@@ -199,7 +201,7 @@
         }
     }
 
-    /// Index after which about `bytes` of log remain, not beyond `upto`.
+    /// Index that leaves about `bytes` of entries between itself and `upto`.
     pub(crate) fn index_keeping(&self, bytes: u64, upto: LogIndex) -> LogIndex {
         let mut kept = 0;
         for entry in self.entries.iter().rev().filter(|e| e.index <= upto) {
@@ -211,7 +213,8 @@
         self.base.0
     }
 
-    /// Replaces everything by a leader's snapshot; keeps a tail that agrees with it.
+    /// Replaces the log by a leader's snapshot. If the log holds the snapshot's last entry, the
+    /// entries after it are kept.
     pub(crate) fn install(&mut self, snapshot: Arc<Snapshot>) {
         if self.term_at(snapshot.index) == Some(snapshot.term) {
             let index = snapshot.index;
--- a/src/replication/core/membership.rs
+++ b/src/replication/core/membership.rs
@@ -1,4 +1,4 @@
-//! Members of the group and the one next change that brings it closer to its target.
+//! Members of the group, and the choice of the next single change towards the target membership.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,23 +7,23 @@
 
 use crate::ids::{ReplicaId, ZoneName};
 
-/// Where a replica is and how it is reached.
+/// Availability zone and addresses of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Address at which other replicas connect.
+    /// Address to which other replicas connect.
     pub addr: SocketAddr,
-    /// Address at which it answers calls when it leads.
+    /// Address at which it serves calls while it leads.
     pub call_addr: SocketAddr,
-    /// Availability zone.
+    /// Availability zone; voters are spread over zones.
     pub zone: ZoneName,
 }
 
 /// Voters and learners of the group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Members that vote.
+    /// Members that vote, by replica id.
     pub voters: BTreeMap<ReplicaId, Member>,
-    /// Members that only receive the log.
+    /// Members that receive the log but don't vote, by replica id.
     pub learners: BTreeMap<ReplicaId, Member>,
 }
 
@@ -40,7 +40,7 @@
         self.voters.len() + self.learners.len()
     }
 
-    /// Looks a member up.
+    /// The voter or learner with this id.
     pub fn get(&self, id: ReplicaId) -> Option<&Member> {
         self.voters.get(&id).or_else(|| self.learners.get(&id))
     }
@@ -53,17 +53,17 @@
         self.voters.values().chain(self.learners.values())
     }
 
-    /// Addresses at which the members answer calls.
+    /// Addresses at which voters and learners serve calls.
     pub fn call_addrs(&self) -> Vec<SocketAddr> {
         self.all().map(|m| m.call_addr).collect()
     }
 
-    /// Addresses at which other replicas reach the members.
+    /// Addresses to which other replicas connect, of voters and learners.
     pub(crate) fn addrs(&self) -> Vec<SocketAddr> {
         self.all().map(|m| m.addr).collect()
     }
 
-    /// Votes that make a majority.
+    /// Number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
@@ -72,7 +72,7 @@
         ids.filter(|id| self.voters.contains_key(id)).count() >= self.quorum()
     }
 
-    /// Largest value that a majority of voters has reached.
+    /// Largest value that a majority of voters has reached; the default when there are no voters.
     pub(crate) fn quorum_value<T: Ord + Default>(&self, value: impl Fn(ReplicaId) -> T) -> T {
         let mut values: Vec<T> = self.voters.keys().map(|id| value(*id)).collect();
         values.sort_unstable_by(|a, b| b.cmp(a));
@@ -82,9 +82,9 @@
             .unwrap_or_default()
     }
 
-    /// Whether a voter is reached at this address. A learner there has taken its place, on a disk
-    /// that was wiped.
-    fn votes_at(&self, addr: SocketAddr) -> bool {
+    /// Whether a voter has this address. A learner with the same address is the same host on a
+    /// wiped disk, and replaces that voter.
+    fn has_voter_at(&self, addr: SocketAddr) -> bool {
         self.voters.values().any(|m| m.addr == addr)
     }
 
@@ -93,22 +93,22 @@
     }
 }
 
-/// What the leader knows of another member when it weighs a change.
+/// Condition of another member, as the leader sees it when it chooses a membership change.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
-    /// It answered within the last election timeout.
+    /// It replied within the last election timeout.
     pub(crate) active: bool,
-    /// It has been silent for the time after which it is replaced.
+    /// It has not replied for `replace_after`.
     pub(crate) gone: bool,
-    /// It holds nearly all of the log.
+    /// It is at most `CAUGHT_UP_LAG` entries behind the log.
     pub(crate) caught_up: bool,
 }
 
-/// Chooses the next membership, one step at a time; `None` when nothing needs to change.
+/// Chooses the next membership, which differs by one member; `None` when nothing needs to change.
 ///
-/// A lost voter is removed before its replacement is promoted, and only once the replacement
-/// has caught up: the live voters that the group needs are then the same before, between and
-/// after, while promoting first would make the group depend on the newcomer as well.
+/// A lost voter is removed before its replacement is promoted, and only once the replacement has
+/// caught up: the group then needs the same live voters before, between and after the two changes.
+/// Promoting first would make the group depend on the new voter as well.
 pub(crate) fn next_membership(
     members: &Membership,
     leader: ReplicaId,
@@ -132,12 +132,12 @@
     if members.voters.len() < target
         && let Some((id, _)) = ready
             .iter()
-            .filter(|(_, m)| !members.votes_at(m.addr))
+            .filter(|(_, m)| !members.has_voter_at(m.addr))
             .min_by_key(|(_, m)| members.voters_in(&m.zone))
     {
         return promoted(members, **id).filter(|next| has_live_quorum(next, leader, &health));
     }
-    if let Some(id) = voter_to_spare(members, leader, surplus, &ready, &health) {
+    if let Some(id) = removable_voter(members, leader, surplus, &ready, &health) {
         return without(id);
     }
     let lost = members.learners.keys().find(|id| health(**id).gone)?;
@@ -153,11 +153,11 @@
     Some(next)
 }
 
-/// A voter that is lost while another member can take its place.
+/// A lost voter that another member can replace.
 ///
-/// This comes before filling up to the target, and a newcomer on a wiped disk is not promoted
-/// beside its former self: where fewer machines exist than the target, the group would then need
-/// three of four, one of which is gone for good, and the next loss would stop it.
+/// Its removal takes precedence over promotions, and a learner on a wiped disk is not promoted
+/// while its host's former id still votes: with fewer hosts than target voters, the group would
+/// need three of four voters, one of them lost for good, and the next loss would stop it.
 fn lost_voter(
     members: &Membership,
     leader: ReplicaId,
@@ -174,9 +174,10 @@
     lost.map(|(id, _)| *id)
 }
 
-/// A voter that the group can do without, or that another in a less crowded zone should replace.
-/// This only tidies up, and waits until all voters are well.
-fn voter_to_spare(
+/// A voter to remove: one more than the target, or one that a learner in an availability zone with
+/// fewer voters should replace. This only improves the spread, so it waits until all voters are
+/// active.
+fn removable_voter(
     members: &Membership,
     leader: ReplicaId,
     surplus: bool,
--- a/src/replication/core/message.rs
+++ b/src/replication/core/message.rs
@@ -7,117 +7,118 @@
 use super::membership::{Member, Membership};
 use crate::ids::{LogIndex, ReplicaId, Term, Timestamp};
 
-/// A message with its envelope.
+/// A message between two replicas.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Sender.
+    /// Id of the sender.
     pub from: ReplicaId,
-    /// Receiver; 0 for an announcement to an address whose replica is not known.
+    /// Id of the receiver; 0 for an announcement to an address whose replica id is unknown.
     pub to: ReplicaId,
     /// The sender's term.
     pub term: Term,
-    /// What it says.
+    /// The request or reply itself.
     pub body: Body,
 }
 
-/// Mark of a leader's message that its answer repeats, so that the leader knows since when a
-/// follower has heard it.
+/// Round and send time of a leader's message. The reply echoes it, which tells the leader until
+/// when the follower is bound by the leader lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Beat {
-    /// Number of the heartbeat round.
+pub struct HeartbeatMark {
+    /// Number of the heartbeat round, counted from 1 in each leadership; 0 before any.
     pub round: u64,
-    /// The leader's monotonic time at which the message was made.
+    /// The leader's monotonic time at which the message was created.
     pub sent_at: Timestamp,
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks whether a vote in the term after this would be granted.
+    /// Asks whether a vote in the next term would be granted, without changing any term.
     PreVote {
-        /// Last entry of the sender.
+        /// Index of the sender's last entry.
         last_index: LogIndex,
-        /// Its term.
+        /// Term of that entry.
         last_term: Term,
     },
-    /// Answer to `PreVote`.
+    /// Reply to `PreVote`.
     PreVoteReply {
-        /// Whether it would.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for the vote in this term.
+    /// Asks for a vote in the sender's term.
     Vote {
-        /// Last entry of the sender.
+        /// Index of the sender's last entry.
         last_index: LogIndex,
-        /// Its term.
+        /// Term of that entry.
         last_term: Term,
-        /// The old leader asked for this election and has given up leadership.
-        handed_over: bool,
+        /// The previous leader has stepped down and asked for this election, so the leader lease
+        /// does not prevent a vote.
+        transfer: bool,
     },
-    /// Answer to `Vote`.
+    /// Reply to `Vote`.
     VoteReply {
-        /// Whether it was granted.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Entries, or none as a heartbeat.
+    /// Entries to append; a heartbeat has none.
     Append {
-        /// Entry before the first one sent.
+        /// Index of the entry before the first one sent.
         prev_index: LogIndex,
-        /// Its term.
+        /// Term of that entry.
         prev_term: Term,
-        /// Entries in order.
+        /// Consecutive entries, in order.
         entries: Vec<Entry>,
-        /// Last entry known to be agreed.
+        /// Index of the last committed entry.
         commit: LogIndex,
-        /// Mark to repeat.
-        beat: Beat,
+        /// Mark that the reply must echo.
+        mark: HeartbeatMark,
     },
-    /// The follower agrees up to `matched`, synced.
+    /// The follower's log matches the leader's up to `matched` and is synced up to there.
     Accepted {
-        /// Last entry that agrees with the leader's log.
+        /// Index of the last matching entry.
         matched: LogIndex,
-        /// Mark of the leader's message.
-        beat: Beat,
+        /// Mark of the leader's message, echoed.
+        mark: HeartbeatMark,
     },
-    /// The follower does not hold the entry before the ones sent.
+    /// The follower lacks the entry before the ones sent, or holds one of another term there.
     Rejected {
-        /// That entry.
+        /// Index of that entry.
         prev_index: LogIndex,
-        /// Last entry that may agree.
+        /// Index of the last entry that may match.
         hint: LogIndex,
-        /// Mark of the leader's message.
-        beat: Beat,
+        /// Mark of the leader's message, echoed.
+        mark: HeartbeatMark,
     },
-    /// Part of a snapshot.
+    /// One part of a snapshot.
     Chunk {
-        /// Last entry contained in the snapshot.
+        /// Index of the last entry in the snapshot.
         index: LogIndex,
-        /// Its term.
+        /// Term of that entry.
         snapshot_term: Term,
-        /// Its time.
+        /// Unix time of that entry.
         at: Timestamp,
-        /// Membership after it.
+        /// Membership after that entry.
         members: Membership,
-        /// Position of `data` in the whole.
+        /// Position of `data` in the snapshot, in bytes.
         offset: u64,
-        /// Size of the whole in bytes.
+        /// Size of the whole snapshot in bytes.
         total: u64,
-        /// The part.
+        /// Bytes of this part.
         data: Bytes,
-        /// Mark to repeat.
-        beat: Beat,
+        /// Mark that the reply must echo.
+        mark: HeartbeatMark,
     },
     /// Asks for the next part of a snapshot.
     ChunkWanted {
-        /// Snapshot.
+        /// Index of the last entry in the snapshot.
         index: LogIndex,
-        /// Position of the part wanted.
+        /// Number of bytes received so far.
         offset: u64,
-        /// Mark of the leader's message.
-        beat: Beat,
+        /// Mark of the leader's message, echoed.
+        mark: HeartbeatMark,
     },
-    /// The leader has given up leadership and asks the receiver to stand at once.
+    /// The leader has stepped down and asks the receiver to start an election at once.
     TimeoutNow,
-    /// Introduces a replica that hears no leader, or whose addresses changed.
+    /// Introduces a replica that receives nothing from a leader, or whose addresses changed.
     Announce(Member),
 }
--- a/src/replication/core/mod.rs
+++ b/src/replication/core/mod.rs
@@ -1,5 +1,5 @@
-//! The consensus core: one replica as a pure state machine. Events and the present time go in,
-//! effects come out in the order in which they must be carried out.
+//! The consensus core (Raft): one replica as a pure state machine. It takes events and the current
+//! time, and returns effects in the order in which they must be executed.
 
 mod changes;
 mod config;
@@ -24,101 +24,100 @@
 pub(crate) use config::{CoreConfig, Safeguards};
 pub use log::{Entry, HardState, Payload, Snapshot};
 pub use membership::{Member, Membership};
-pub use message::{Beat, Body, Message};
+pub use message::{Body, HeartbeatMark, Message};
 
-use follower::Incoming;
-use leader::Leading;
+use follower::IncomingSnapshot;
+use leader::LeaderState;
 pub(crate) use log::Log;
 
-/// Number of a read that waits for confirmed leadership.
+/// Number of a read in one leadership, in the order of the calls.
 pub(crate) type ReadId = u64;
 /// Number of a save, in the order in which saves must reach the disk.
 pub(crate) type SaveSeq = u64;
 
-/// What is found on disk at a start.
+/// Persistent state that is read from disk at a start.
 #[derive(Clone, Debug, Default)]
 pub struct Recovered {
     /// Term and vote.
     pub hard: HardState,
-    /// Newest snapshot; of index 0 when there is none.
+    /// Newest snapshot; its index is 0 when there is none.
     pub snapshot: Snapshot,
-    /// Index and term of the entry before the first one held.
+    /// Index and term of the entry before the first one in `entries`.
     pub base: (LogIndex, Term),
-    /// Entries in order, from the one after `base`.
+    /// Consecutive entries that follow `base`.
     pub entries: Vec<Entry>,
 }
 
-/// What must reach the disk together, in the order of the fields.
+/// State to write to disk, in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Save {
-    /// Number to report back once it is synced.
+    /// Number to report to `Core::saved` once this save is synced.
     pub seq: u64,
-    /// A snapshot, with the whole log as it stands after it.
+    /// A new snapshot, with the whole log that remains.
     pub snapshot: Option<SaveSnapshot>,
-    /// Term and vote, if they changed.
+    /// Term and vote; `None` when they did not change.
     pub hard: Option<HardState>,
-    /// Entries; the first one replaces whatever stood at or after its index.
+    /// New entries; the first one replaces all entries from its index on.
     pub entries: Vec<Entry>,
 }
 
-/// A snapshot to be written and how much of the log stays.
+/// A snapshot to write, and the log that remains.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SaveSnapshot {
-    /// The snapshot.
+    /// The snapshot to write.
     pub snapshot: Arc<Snapshot>,
-    /// Hard state, for the head of the new log file.
+    /// Term and vote, which the new log segment must hold.
     pub hard: HardState,
-    /// Index and term of the entry before the first one kept.
+    /// Index and term of the entry before the first one in `kept`.
     pub base: (LogIndex, Term),
-    /// Log that stays: the whole of it.
+    /// All entries that remain in the log.
     pub kept: Vec<Entry>,
 }
 
-/// What the core wants done, in order.
+/// An action that the core's owner must execute; effects are executed in order.
 #[derive(Clone, Debug)]
 pub(crate) enum Effect {
-    /// Write and sync, then report `saved`.
+    /// Write and sync, then call `Core::saved`.
     Save(Save),
-    /// Send to a member.
+    /// Send to the replica in `to`.
     Send(Message),
-    /// Send to every configured address.
+    /// Send to every configured address and every member.
     Announce(Message),
-    /// Apply agreed entries.
+    /// Apply committed entries to the state machine.
     Apply(Vec<Entry>),
-    /// Replace the machine's state.
+    /// Replace the state machine's state by the snapshot.
     Restore(Arc<Snapshot>),
-    /// Leadership began (with all earlier entries applied) or ended.
+    /// Leadership started, with all earlier entries applied, or ended.
     Leadership(bool),
     /// Reads up to this number may run now.
     ReadsReady(ReadId),
-    /// Make a snapshot of the state, applied up to this index, and hand it to `snapshot_taken`.
+    /// Take a snapshot of the state applied up to this index and pass it to `snapshot_taken`.
     TakeSnapshot(LogIndex),
 }
 
-/// Why the core takes no proposal or read.
+/// Why the core refuses a proposal or read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refused {
     NotLeader,
     DiskFull,
 }
 
-/// Pause before a pre-vote after word from a leader or from a candidate, in election timeouts: the
-/// others may grant one after a whole timeout, and candidates should not ask all at once.
+/// Time to the next pre-vote after a leader's message, a vote or a candidacy, in election timeouts.
+/// Others grant it only after a whole timeout, and the random part keeps candidates apart.
 const ELECTION_PAUSE: Range<f64> = 1.0..2.0;
-/// Pause between two pre-votes, in election timeouts: a round trip and a sync take a tenth of one,
-/// and two candidates that ask at once should differ by more.
+/// Time between two pre-votes, in election timeouts. A round trip and a sync take a tenth of a
+/// timeout, and two simultaneous candidates should differ by more.
 ///
-/// Replicas that have just started refuse for one election timeout, as they don't know what they
-/// heard before. After a loss of power they start one after the other, so the first pre-votes come
-/// too early; with a whole timeout between two, leadership began 0.9 s after the third of five had
-/// started. A pre-vote changes no term, so asking often is safe.
+/// Replicas that have just started refuse for one election timeout, as they may have heard a leader
+/// before. After a power loss they start one after the other, so the first pre-votes come too early;
+/// with a whole timeout between two, a leader was elected only 0.9 s after the third of five had
+/// started. A pre-vote changes no term, so frequent ones are safe.
 const PRE_VOTE_PAUSE: Range<f64> = 0.15..0.4;
-/// Pause before the first pre-vote after a start, in election timeouts: soon after the others may
-/// grant one, if they started at about the same time. Where a leader is at work, it is heard long
-/// before.
+/// Time from a start to the first pre-vote, in election timeouts: just after replicas that started
+/// at about the same time can grant it. An active leader is heard long before.
 const FIRST_PRE_VOTE: Range<f64> = 1.075..1.2;
 
-/// One replica.
+/// State of one replica.
 pub(crate) struct Core {
     cfg: CoreConfig,
     rng: ChaCha8Rng,
@@ -130,22 +129,23 @@
     applied: LogIndex,
     role: Role,
     leader: Option<ReplicaId>,
-    /// Last word from a leader, or the start of this process.
-    heard_at: Timestamp,
+    /// Time of the last message from a leader; before any, of the start of this process.
+    leader_heard_at: Timestamp,
     election_at: Timestamp,
     votes: BTreeSet<ReplicaId>,
-    leading: Option<Leading>,
-    incoming: Option<Incoming>,
+    leading: Option<LeaderState>,
+    incoming: Option<IncomingSnapshot>,
     disk_full: bool,
     announced_at: Option<Timestamp>,
     taking_snapshot: bool,
-    // Saves under way.
+    // Saves not yet synced, and the messages that wait for them.
     save: Save,
     last_seq: SaveSeq,
     synced_seq: SaveSeq,
     saving: VecDeque<(SaveSeq, LogIndex)>,
+    /// Last synced entry.
     stable: LogIndex,
-    held: VecDeque<(SaveSeq, Message)>,
+    awaiting_sync: VecDeque<(SaveSeq, Message)>,
     effects: Vec<Effect>,
 }
 
@@ -163,7 +163,7 @@
             applied: snapshot.index,
             role: Role::Learner,
             leader: None,
-            heard_at: if cfg.safeguards.restart_waits {
+            leader_heard_at: if cfg.safeguards.no_vote_after_restart {
                 now
             } else {
                 Timestamp::ZERO
@@ -180,7 +180,7 @@
             synced_seq: 0,
             saving: VecDeque::new(),
             stable: log.last_index(),
-            held: VecDeque::new(),
+            awaiting_sync: VecDeque::new(),
             effects: Vec::new(),
             log,
             cfg,
@@ -188,28 +188,28 @@
         if snapshot.index > 0 {
             core.effects.push(Effect::Restore(snapshot));
         }
-        core.role = core.resting_role();
-        core.ask_within(now, FIRST_PRE_VOTE);
+        core.role = core.non_leader_role();
+        core.schedule_pre_vote(now, FIRST_PRE_VOTE);
         if core.members.voters.len() == 1 && core.is_voter() {
             core.election_at = now;
         }
         core
     }
 
-    /// Advances time.
+    /// Runs the timers of leader, follower or learner; called regularly.
     pub(crate) fn tick(&mut self, now: Timestamp) {
         self.check_leadership(now);
         if self.leading.is_some() {
             self.tick_leader(now);
             return;
         }
-        self.announce_if_lost(now);
+        self.announce_if_needed(now);
         if now >= self.election_at && self.is_voter() && !self.disk_full {
             self.start_pre_vote(now);
         }
     }
 
-    /// Takes a message from another replica.
+    /// Handles a message from another replica.
     pub(crate) fn receive(&mut self, now: Timestamp, message: Message) {
         self.check_leadership(now);
         if let Body::Announce(member) = message.body {
@@ -219,7 +219,7 @@
         if message.to != self.cfg.id {
             return;
         }
-        if message.term > self.hard.term && !self.adopts_term(now, &message) {
+        if message.term > self.hard.term && !self.accepts_term(now, &message) {
             return;
         }
         let Message {
@@ -234,8 +234,8 @@
             Body::Vote {
                 last_index,
                 last_term,
-                handed_over,
-            } => self.on_vote(now, from, term, (last_term, last_index), handed_over),
+                transfer,
+            } => self.on_vote(now, from, term, (last_term, last_index), transfer),
             Body::VoteReply { granted } => self.on_vote_reply(now, from, term, granted),
             Body::TimeoutNow => self.on_timeout_now(now, term),
             Body::Append { .. } | Body::Chunk { .. } => {
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Tells that all saves up to `seq` are synced.
+    /// Reports that all saves up to `seq` are synced.
     pub(crate) fn saved(&mut self, now: Timestamp, seq: SaveSeq) {
         self.check_leadership(now);
         self.synced_seq = self.synced_seq.max(seq);
@@ -259,26 +259,26 @@
             self.stable = self.stable.max(last);
         }
         while self
-            .held
+            .awaiting_sync
             .front()
             .is_some_and(|(s, _)| *s <= self.synced_seq)
         {
-            let (_, message) = self.held.pop_front().expect("checked above");
+            let (_, message) = self.awaiting_sync.pop_front().expect("checked above");
             self.deliver(now, message);
         }
         self.advance_commit(now);
     }
 
-    /// Tells that the disk became full or has room again.
+    /// Reports whether the disk is full.
     pub(crate) fn disk_full(&mut self, now: Timestamp, full: bool) {
         self.disk_full = full;
         if full {
-            // Others can still sync: leadership here would only refuse everything.
-            self.rest(now, None);
+            // A leader with a full disk would refuse every proposal; another replica may have space.
+            self.step_down(now, None);
         }
     }
 
-    /// Takes the machine's snapshot of the state applied up to `index`.
+    /// Stores the state machine's snapshot of the state applied up to `index`.
     pub(crate) fn snapshot_taken(&mut self, index: LogIndex, data: impl Into<bytes::Bytes>) {
         self.taking_snapshot = false;
         if index <= self.log.snapshot().index {
@@ -301,7 +301,7 @@
         self.save_whole_log();
     }
 
-    /// Hands out what must be done, in order.
+    /// Returns the effects to execute, in order.
     pub(crate) fn take_effects(&mut self) -> Vec<Effect> {
         self.flush_save();
         std::mem::take(&mut self.effects)
@@ -351,7 +351,7 @@
         self.members.voters.contains_key(&self.cfg.id)
     }
 
-    fn resting_role(&self) -> Role {
+    fn non_leader_role(&self) -> Role {
         if self.is_voter() {
             Role::Follower
         } else {
@@ -360,13 +360,13 @@
     }
 
     fn postpone_election(&mut self, now: Timestamp) {
-        self.ask_within(now, ELECTION_PAUSE);
+        self.schedule_pre_vote(now, ELECTION_PAUSE);
     }
 
-    /// Sets the time of the next pre-vote to a random one in a range of election timeouts.
-    fn ask_within(&mut self, now: Timestamp, timeouts: Range<f64>) {
-        let part = self.rng.random_range(timeouts);
-        self.election_at = now + self.cfg.election_timeout.mul_f64(part);
+    /// Sets the time of the next pre-vote to a random point in a range of election timeouts.
+    fn schedule_pre_vote(&mut self, now: Timestamp, timeouts: Range<f64>) {
+        let factor = self.rng.random_range(timeouts);
+        self.election_at = now + self.cfg.election_timeout.mul_f64(factor);
     }
 
     fn set_hard(&mut self, hard: HardState) {
@@ -399,7 +399,7 @@
         let last = self.log.last_index();
         let base = self.log.base();
         let kept = self.log.range(base.0 + 1, last);
-        // The kept log holds every entry that waited to be saved.
+        // `kept` includes every entry that was still to be saved.
         self.save.entries.clear();
         self.save.hard = None;
         self.save.snapshot = Some(SaveSnapshot {
@@ -410,12 +410,12 @@
         });
     }
 
-    fn dirty(&self) -> bool {
+    fn has_unsaved(&self) -> bool {
         self.save.hard.is_some() || !self.save.entries.is_empty() || self.save.snapshot.is_some()
     }
 
     fn flush_save(&mut self) {
-        if !self.dirty() {
+        if !self.has_unsaved() {
             return;
         }
         self.last_seq += 1;
@@ -439,13 +439,13 @@
         self.effects.push(Effect::Send(message));
     }
 
-    /// Sends once everything decided so far is synced.
+    /// Sends the message once all state changes so far are synced.
     ///
-    /// A vote or an answer that left earlier would be forgotten by a crash: the replica could
-    /// vote twice, or a committed entry would be missing from its majority.
+    /// After a crash, the replica would not remember a vote or reply that it had sent earlier: it
+    /// could vote twice, or a committed entry would be missing from its majority.
     fn send_after_sync(&mut self, to: ReplicaId, body: Body) {
         let message = self.message(to, body);
-        let needed = if self.dirty() {
+        let needed = if self.has_unsaved() {
             self.last_seq + 1
         } else {
             self.last_seq
@@ -453,11 +453,11 @@
         if needed <= self.synced_seq || !self.cfg.safeguards.sync_before_answer {
             self.effects.push(Effect::Send(message));
         } else {
-            self.held.push_back((needed, message));
+            self.awaiting_sync.push_back((needed, message));
         }
     }
 
-    /// Lets a held message go; the replica's vote for itself arrives here as well.
+    /// Sends a message that waited for a sync. The replica's vote for itself is counted here.
     fn deliver(&mut self, now: Timestamp, message: Message) {
         if message.to != self.cfg.id {
             self.effects.push(Effect::Send(message));
@@ -466,27 +466,28 @@
         }
     }
 
-    /// Applies what is agreed and asks for a snapshot when the log has grown long.
+    /// Applies committed entries, and requests a snapshot once the log exceeds its size limit.
     fn apply_committed(&mut self) {
         if self.commit > self.applied {
             let entries = self.log.range(self.applied + 1, self.commit);
             self.applied = self.commit;
             self.effects.push(Effect::Apply(entries));
         }
-        let new = self.applied - self.log.snapshot().index;
-        if self.log.bytes() > self.cfg.snapshot_bytes && new > 0 && !self.taking_snapshot {
+        let newer = self.applied - self.log.snapshot().index;
+        if self.log.bytes() > self.cfg.snapshot_bytes && newer > 0 && !self.taking_snapshot {
             self.taking_snapshot = true;
             self.effects.push(Effect::TakeSnapshot(self.applied));
         }
     }
 
-    fn announce_if_lost(&mut self, now: Timestamp) {
-        let known = self.members.get(self.cfg.id) == Some(&self.cfg.member);
-        let heard = self.leader.is_some() && now < self.heard_at + self.cfg.election_timeout;
+    fn announce_if_needed(&mut self, now: Timestamp) {
+        let is_member = self.members.get(self.cfg.id) == Some(&self.cfg.member);
+        let has_leader =
+            self.leader.is_some() && now < self.leader_heard_at + self.cfg.election_timeout;
         let due = self
             .announced_at
             .is_none_or(|at| now >= at + self.cfg.election_timeout);
-        if (known && heard) || !due {
+        if (is_member && has_leader) || !due {
             return;
         }
         self.announced_at = Some(now);
--- a/src/replication/core/progress.rs
+++ b/src/replication/core/progress.rs
@@ -1,42 +1,44 @@
-//! What a leader knows of one other member.
+//! Replication progress of one other member, tracked by the leader.
 
 use std::collections::VecDeque;
 
-use super::Beat;
+use super::HeartbeatMark;
 use crate::ids::{LogIndex, Timestamp};
 
-/// Most messages with entries on the way to one member.
+/// Most unacknowledged messages with entries to one member.
 pub(super) const MAX_IN_FLIGHT: usize = 8;
 
 /// How a member is being brought up to date.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Mode {
-    /// One message at a time until the logs are known to agree.
+    /// One message at a time, until the last matching entry is found.
     Probe,
-    /// Entries follow each other without waiting.
+    /// Pipelined: entries are sent without waiting for replies.
     Stream,
-    /// A snapshot, part by part.
+    /// A snapshot, one part at a time.
     Snapshot {
-        /// Which.
+        /// Index of the last entry in the snapshot.
         index: LogIndex,
-        /// Next part.
+        /// Position of the next part, in bytes.
         offset: u64,
     },
 }
 
-/// State of one member in the leader's eyes.
+/// Replication state of one member.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
+    /// Last entry known to be in the member's log, synced.
     pub(super) matched: LogIndex,
+    /// Next entry to send.
     pub(super) next: LogIndex,
     pub(super) mode: Mode,
-    /// Last indices of the messages with entries on the way.
+    /// Index of the last entry in each unacknowledged message.
     pub(super) in_flight: VecDeque<LogIndex>,
-    /// A probe or part is on the way.
-    pub(super) waits: bool,
-    /// Newest mark the member has answered.
-    pub(super) beat: Beat,
-    /// When its last answer came, or when this leader began.
+    /// A probe or a part of a snapshot was sent and not answered.
+    pub(super) awaiting_reply: bool,
+    /// Newest mark that the member has echoed.
+    pub(super) mark: HeartbeatMark,
+    /// When the last reply arrived; before any, when tracking began.
     pub(super) active_at: Timestamp,
 }
 
@@ -47,8 +49,8 @@
             next: last_index + 1,
             mode: Mode::Probe,
             in_flight: VecDeque::new(),
-            waits: false,
-            beat: Beat::default(),
+            awaiting_reply: false,
+            mark: HeartbeatMark::default(),
             active_at: now,
         }
     }
@@ -69,7 +71,7 @@
             self.next = self.matched + 1;
             self.in_flight.clear();
         }
-        self.waits = false;
+        self.awaiting_reply = false;
     }
 
     pub(super) fn rejected(&mut self, prev_index: LogIndex, hint: LogIndex) {
@@ -84,8 +86,9 @@
         self.next = (hint + 1).min(prev_index.max(1)).max(self.matched + 1);
         self.mode = Mode::Probe;
         self.in_flight.clear();
-        // An answer that taught nothing must not cause the next question: repeated by the
-        // network, the two would multiply. The next heartbeat asks again.
-        self.waits = probing && self.next == before;
+        // A rejection that does not move `next` must not trigger another probe: if the network
+        // duplicates messages, probes and rejections would multiply. The next heartbeat probes
+        // again.
+        self.awaiting_reply = probing && self.next == before;
     }
 }
--- a/src/replication/explore/faults.rs
+++ b/src/replication/explore/faults.rs
@@ -21,7 +21,7 @@
     /// The host's disk is replaced by an empty one.
     Wipe { host: usize },
     /// A planned hand-over of leadership.
-    HandOver { host: usize },
+    TransferLeadership { host: usize },
     /// Syncs take long for a while.
     SlowDisk { host: usize, longest: Duration },
     /// The disk becomes full or has room again.
@@ -96,7 +96,7 @@
         50..58 => Fault::Isolate { host },
         58..72 => Fault::Heal,
         72..78 => Fault::Wipe { host },
-        78..86 => Fault::HandOver { host },
+        78..86 => Fault::TransferLeadership { host },
         86..91 => Fault::SlowDisk {
             host,
             longest: millis(rng, 5, 150),
--- a/src/replication/explore/host.rs
+++ b/src/replication/explore/host.rs
@@ -91,7 +91,7 @@
     Tick,
     Write(OpId),
     Read(OpId),
-    HandOver,
+    TransferLeadership,
     DiskFull(bool),
 }
 
--- a/src/replication/explore/mod.rs
+++ b/src/replication/explore/mod.rs
@@ -52,7 +52,7 @@
     /// No vote while a leader is heard.
     LeaderStickiness,
     /// A restarted replica gives no vote for one election timeout.
-    RestartWaits,
+    NoVoteAfterRestart,
     /// Only entries of the leader's own term are counted.
     CommitOwnTerm,
     /// A commit needs a majority.
@@ -64,11 +64,11 @@
     /// Neither a heartbeat round nor the quorum's silence is looked at before a read.
     ConfirmReads,
     /// One membership change at a time.
-    OneChange,
+    OneMembershipChange,
     /// A wiped disk gets a new id.
     FreshIdentity,
     /// Leadership ends before it is handed over.
-    HandOverEnds,
+    StepDownBeforeTransfer,
     /// Time in entries never goes back.
     TimeForward,
 }
@@ -80,15 +80,15 @@
         Self::SingleVote,
         Self::LogUpToDate,
         Self::LeaderStickiness,
-        Self::RestartWaits,
+        Self::NoVoteAfterRestart,
         Self::CommitOwnTerm,
         Self::CommitMajority,
         Self::CheckPrevious,
         Self::CheckQuorum,
         Self::ConfirmReads,
-        Self::OneChange,
+        Self::OneMembershipChange,
         Self::FreshIdentity,
-        Self::HandOverEnds,
+        Self::StepDownBeforeTransfer,
         Self::TimeForward,
     ];
 
@@ -99,7 +99,7 @@
             Self::SingleVote => s.single_vote = false,
             Self::LogUpToDate => s.log_up_to_date = false,
             Self::LeaderStickiness => s.leader_stickiness = false,
-            Self::RestartWaits => s.restart_waits = false,
+            Self::NoVoteAfterRestart => s.no_vote_after_restart = false,
             Self::CommitOwnTerm => s.commit_own_term = false,
             Self::CommitMajority => s.commit_majority = false,
             Self::CheckPrevious => s.check_previous = false,
@@ -108,9 +108,9 @@
                 s.check_quorum = false;
                 s.read_after_round = false;
             }
-            Self::OneChange => s.one_change = false,
+            Self::OneMembershipChange => s.one_membership_change = false,
             Self::FreshIdentity => s.fresh_identity = false,
-            Self::HandOverEnds => s.hand_over_ends = false,
+            Self::StepDownBeforeTransfer => s.step_down_before_transfer = false,
             Self::TimeForward => s.time_forward = false,
         }
         s
--- a/src/replication/explore/world/damage.rs
+++ b/src/replication/explore/world/damage.rs
@@ -67,7 +67,9 @@
                     self.wipe(host);
                 }
             }
-            Fault::HandOver { host } => return self.reach(host, Input::HandOver),
+            Fault::TransferLeadership { host } => {
+                return self.reach(host, Input::TransferLeadership);
+            }
             Fault::SlowDisk { host, longest } => self.hosts[host].slow_sync = longest,
             Fault::FullDisk { host, full } => return self.reach(host, Input::DiskFull(full)),
             Fault::SetClock { host, unix } => self.hosts[host].clock.unix = unix,
--- a/src/replication/explore/world/effects.rs
+++ b/src/replication/explore/world/effects.rs
@@ -23,7 +23,7 @@
             Input::Message(message) => r.core.receive(now, message),
             Input::Synced(seq) => r.core.saved(now, seq),
             Input::Tick => r.core.tick(now),
-            Input::HandOver => r.core.hand_over(now),
+            Input::TransferLeadership => r.core.transfer_leadership(now),
             Input::DiskFull(full) => r.core.disk_full(now, full),
             Input::Write(op) => match r.core.propose(now, unix, op.to_le_bytes().to_vec()) {
                 Ok(index) => {
--- a/src/replication/mod.rs
+++ b/src/replication/mod.rs
@@ -1,5 +1,5 @@
-//! Replicated log: elections, agreement, membership and snapshots as pure state machines, and
-//! the runtime that gives them a disk, a network and a clock.
+//! Replicated log (Raft): elections, replication, membership and snapshots in a pure state machine,
+//! and the runtime that connects it to disk, network and clock.
 
 mod core;
 pub mod explore;
@@ -7,7 +7,7 @@
 mod runtime;
 
 pub use self::core::{
-    Beat, Body, Entry, HardState, Member, Membership, Message, Payload, Recovered, Save,
+    Body, Entry, HardState, HeartbeatMark, Member, Membership, Message, Payload, Recovered, Save,
     SaveSnapshot, Snapshot,
 };
 pub use machine::{ProposeError, ReadError, ReplicaStatus, Role, StateMachine};
--- a/src/replication/runtime/control.rs
+++ b/src/replication/runtime/control.rs
@@ -8,7 +8,8 @@
 
 use super::disk::DiskQueue;
 use super::messages::{
-    Confirmation, DiskNews, FromPeer, HandOver, Inform, Local, Propose, Read, ReadJob, Stop, Tick,
+    Confirmation, DiskNews, FromPeer, Inform, Local, Propose, Read, ReadJob, Stop, Tick,
+    TransferLeadership,
 };
 use super::peers::PeerQueue;
 use super::{monotonic_now, unix_now};
@@ -323,11 +324,11 @@
     }
 }
 
-impl<M: StateMachine> Handler<HandOver> for Control<M> {
+impl<M: StateMachine> Handler<TransferLeadership> for Control<M> {
     type Return = ();
 
-    async fn handle(&mut self, _: HandOver, _: &mut Context<Self>) {
-        self.core.hand_over(monotonic_now());
+    async fn handle(&mut self, _: TransferLeadership, _: &mut Context<Self>) {
+        self.core.transfer_leadership(monotonic_now());
     }
 }
 
--- a/src/replication/runtime/handle.rs
+++ b/src/replication/runtime/handle.rs
@@ -11,7 +11,7 @@
 
 use super::config::{Formation, ReplicaConfig};
 use super::control::{self, Control};
-use super::messages::{Confirmation, HandOver, Inform, Local, Propose, Read, Stop, Tick};
+use super::messages::{Confirmation, Inform, Local, Propose, Read, Stop, Tick, TransferLeadership};
 use super::{disk, monotonic_now, peers};
 use crate::error::{Error, Result, Step};
 use crate::ids::Timestamp;
@@ -292,7 +292,7 @@
 
     /// Moves leadership to another voter, if this replica leads and there is one.
     pub async fn hand_over(&self) {
-        if self.control.send(HandOver).await.is_err() {
+        if self.control.send(TransferLeadership).await.is_err() {
             return;
         }
         let mut status = self.status.clone();
--- a/src/replication/runtime/messages.rs
+++ b/src/replication/runtime/messages.rs
@@ -47,7 +47,7 @@
 pub(super) struct Tick;
 
 /// Leadership should move to another replica.
-pub(super) struct HandOver;
+pub(super) struct TransferLeadership;
 
 /// The replica should end.
 pub(super) struct Stop;
--- a/tests/replication_explorer.rs
+++ b/tests/replication_explorer.rs
@@ -40,14 +40,14 @@
 #[case(Safeguard::SingleVote, &[Check::ElectionSafety])]
 #[case(Safeguard::LogUpToDate, &[Check::CommittedKept])]
 #[case(Safeguard::LeaderStickiness, &[Check::OneActingLeader])]
-#[case(Safeguard::RestartWaits, &[Check::OneActingLeader])]
+#[case(Safeguard::NoVoteAfterRestart, &[Check::OneActingLeader])]
 #[case(Safeguard::CommitMajority, &[Check::CommittedKept])]
 #[case(Safeguard::CheckPrevious, &[Check::LogMatching, Check::CommittedKept])]
 #[case(Safeguard::CheckQuorum, &[Check::OneActingLeader])]
 #[case(Safeguard::ConfirmReads, &[Check::Linearizable])]
-#[case(Safeguard::OneChange, &[Check::ElectionSafety, Check::CommittedKept])]
+#[case(Safeguard::OneMembershipChange, &[Check::ElectionSafety, Check::CommittedKept])]
 #[case(Safeguard::FreshIdentity, &[Check::ElectionSafety, Check::CommittedKept, Check::Progress])]
-#[case(Safeguard::HandOverEnds, &[Check::OneActingLeader])]
+#[case(Safeguard::StepDownBeforeTransfer, &[Check::OneActingLeader])]
 #[case(Safeguard::TimeForward, &[Check::TimeForward])]
 fn a_broken_safeguard_is_seen(#[case] broken: Safeguard, #[case] seen_by: &[Check]) {
     let violation = explore(0..SEARCHED, Some(broken), THREADS).expect_err("nothing was seen");
