--- a/src/replication/explore/checks.rs
+++ b/src/replication/explore/checks.rs
@@ -1,4 +1,4 @@
-//! Properties that are checked at every step.
+//! Properties that are checked after every event.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry as Slot;
@@ -8,17 +8,19 @@
 use crate::ids::{LogIndex, ReplicaId, Term, Timestamp};
 use crate::replication::core::{Core, Entry, Payload};
 
-/// A property found broken, with what was seen.
-pub(super) type Broken = (Check, String);
+/// The violated property, and a description of the observed state.
+pub(super) type CheckFailure = (Check, String);
 
-/// What has been seen of all replicas so far.
+/// Observations of all replicas so far.
 #[derive(Default)]
 pub(super) struct Checks {
     leaders: HashMap<Term, ReplicaId>,
-    /// Content and the term before it, of each entry ever appended.
+    /// Digest of each entry ever appended, and the term of the entry before it if it was known.
     appended: HashMap<(LogIndex, Term), (u64, Option<Term>)>,
-    /// Term and content of each entry ever committed, from index 1, and the term in which it was.
+    /// Term and digest of each entry ever committed, from index 1, and the term of the replica that
+    /// first applied it.
     committed: Vec<((Term, u64), Term)>,
+    /// Time of the last committed entry.
     last_at: Timestamp,
     pub(super) membership_changes: u64,
 }
@@ -41,15 +43,15 @@
 }
 
 impl Checks {
-    pub(super) fn leads(&mut self, core: &Core) -> Result<(), Broken> {
+    pub(super) fn check_leader(&mut self, core: &Core) -> Result<(), CheckFailure> {
         let (term, id) = (core.term(), core.id());
         let first = *self.leaders.entry(term).or_insert(id);
         if first != id {
             let detail = format!("replicas {first} and {id} lead in term {term}");
             return Err((Check::ElectionSafety, detail));
         }
-        // A candidate may learn late that it had won an earlier term; it need not hold what was
-        // committed since.
+        // A candidate may learn late that it has won an earlier term; it may lack the entries
+        // committed in later terms.
         let before = self.committed.iter().enumerate();
         let before = before.filter(|(_, (_, in_term))| *in_term < term);
         for (i, ((committed, _), _)) in before {
@@ -64,7 +66,7 @@
         Ok(())
     }
 
-    pub(super) fn appends(&mut self, core: &Core, entry: &Entry) -> Result<(), Broken> {
+    pub(super) fn check_append(&mut self, core: &Core, entry: &Entry) -> Result<(), CheckFailure> {
         let before = core.log().term_at(entry.index - 1);
         let seen = (digest(&entry.payload), before);
         match self.appended.entry((entry.index, entry.term)) {
@@ -82,8 +84,8 @@
                     return Ok(());
                 }
                 let detail = format!(
-                    "replica {} holds entry {} of term {} after term {before:?}, another after \
-                     {earlier:?}",
+                    "replica {} holds entry {} of term {} after term {before:?}, another replica \
+                     after {earlier:?}, or with other content",
                     core.id(),
                     entry.index,
                     entry.term
@@ -93,7 +95,7 @@
         }
     }
 
-    pub(super) fn applies(&mut self, core: &Core, entry: &Entry) -> Result<(), Broken> {
+    pub(super) fn check_apply(&mut self, core: &Core, entry: &Entry) -> Result<(), CheckFailure> {
         let id = core.id();
         let seen = (entry.term, digest(&entry.payload));
         let at = entry.index as usize - 1;
@@ -113,7 +115,10 @@
             self.membership_changes += 1;
         }
         if entry.at < self.last_at {
-            let detail = format!("entry {} is at {:?}", entry.index, entry.at);
+            let detail = format!(
+                "entry {} has the time {:?}, lower than the one before",
+                entry.index, entry.at
+            );
             return Err((Check::TimeForward, detail));
         }
         self.last_at = entry.at;
--- a/src/replication/explore/faults.rs
+++ b/src/replication/explore/faults.rs
@@ -1,89 +1,94 @@
-//! What goes wrong in a schedule, drawn from its seed.
+//! Random faults of a schedule, determined by its seed.
 
 use std::time::Duration;
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// One fault or planned act.
+/// A fault or an operator's action.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Fault {
-    /// The process ends and starts again after a while.
+    /// The process ends, and starts again after `down`.
     Crash { host: usize, down: Duration },
-    /// The process stands still.
+    /// The process does not run for `time`.
     Pause { host: usize, time: Duration },
-    /// Nothing passes from one host to another; the other way is open.
+    /// Messages from one host to another are dropped; the other direction works.
     CutOneWay { from: usize, to: usize },
-    /// Nothing passes to or from a host.
+    /// Messages to and from a host are dropped.
     Isolate { host: usize },
-    /// All cuts end.
+    /// All partitions end.
     Heal,
     /// The host's disk is replaced by an empty one.
     Wipe { host: usize },
-    /// A planned hand-over of leadership.
+    /// An operator's request for a leadership transfer.
     TransferLeadership { host: usize },
-    /// Syncs take long for a while.
+    /// Syncs take up to `longest` from now on.
     SlowDisk { host: usize, longest: Duration },
-    /// The disk becomes full or has room again.
+    /// The disk becomes full, or has free space again.
     FullDisk { host: usize, full: bool },
-    /// The host's Unix clock is set.
+    /// The host's Unix clock is set to another offset.
     SetClock { host: usize, unix: Duration },
-    /// For a while each new leader crashes soon after its election.
-    FallingLeaders { time: Duration },
-    /// The leader and one host do not reach each other while another restarts again and again.
-    Restarts { offset: usize },
-    /// Messages are lost and repeated with these chances.
+    /// Each leader elected within `time` crashes soon after its election.
+    CrashNewLeaders { time: Duration },
+    /// The leader and one host are partitioned while another host restarts repeatedly.
+    RepeatedRestarts { offset: usize },
+    /// Messages are lost and duplicated with these probabilities.
     Network { loss: f64, repeat: f64 },
 }
 
-/// How a schedule's faults are spread.
+/// Fault rates and timing of a schedule.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Mix {
+pub(super) struct FaultProfile {
     /// Longest time between two faults.
     pub(super) longest_gap: Duration,
-    /// Share of faults that strike a host that leads.
-    pub(super) at_leader: f64,
-    /// Longest time a crashed process is down.
-    pub(super) longest_down: Duration,
-    /// Longest time between two calls.
+    /// Share of faults that are directed at a leader.
+    pub(super) leader_share: f64,
+    /// Longest time for which a crashed process is down.
+    pub(super) max_downtime: Duration,
+    /// Longest time between two client calls.
     pub(super) longest_call_gap: Duration,
-    /// Longest time a message takes, but for the late ones.
+    /// Longest delay of a message, except for the share of late ones.
     pub(super) longest_delay: Duration,
 }
 
-impl Mix {
-    /// What holds once all faults have ended.
-    pub(super) fn calm() -> Self {
+impl FaultProfile {
+    /// Timing after all faults have ended.
+    pub(super) fn without_faults() -> Self {
         Self {
             longest_gap: Duration::ZERO,
-            at_leader: 0.0,
-            longest_down: Duration::ZERO,
+            leader_share: 0.0,
+            max_downtime: Duration::ZERO,
             longest_call_gap: Duration::from_millis(40),
             longest_delay: Duration::from_millis(8),
         }
     }
 
-    pub(super) fn draw(rng: &mut ChaCha8Rng) -> Self {
+    pub(super) fn random(rng: &mut ChaCha8Rng) -> Self {
         Self {
             longest_gap: Duration::from_millis([180, 60][rng.random_range(0..2)]),
-            at_leader: [0.0, 0.7][rng.random_range(0..2)],
-            longest_down: Duration::from_millis([400, 20][rng.random_range(0..2)]),
+            leader_share: [0.0, 0.7][rng.random_range(0..2)],
+            max_downtime: Duration::from_millis([400, 20][rng.random_range(0..2)]),
             longest_call_gap: Duration::from_millis([40, 400][rng.random_range(0..2)]),
             longest_delay: Duration::from_millis([8, 25][rng.random_range(0..2)]),
         }
     }
 }
 
-/// Draws the next fault, at `host` where one host is meant.
-pub(super) fn draw(rng: &mut ChaCha8Rng, mix: &Mix, host: usize, hosts: usize) -> Fault {
-    let longest_down = mix.longest_down.as_millis() as u64;
+/// Returns a random fault, at `host` if it affects a single host.
+pub(super) fn random_fault(
+    rng: &mut ChaCha8Rng,
+    profile: &FaultProfile,
+    host: usize,
+    hosts: usize,
+) -> Fault {
+    let max_downtime = profile.max_downtime.as_millis() as u64;
     let millis = |rng: &mut ChaCha8Rng, least: u64, most: u64| {
         Duration::from_millis(rng.random_range(least..most))
     };
     match rng.random_range(0..100) {
         0..18 => Fault::Crash {
             host,
-            down: millis(rng, 1, longest_down),
+            down: millis(rng, 1, max_downtime),
         },
         18..36 => Fault::Pause {
             host,
@@ -105,10 +110,10 @@
             host,
             full: rng.random_bool(0.5),
         },
-        94 => Fault::FallingLeaders {
+        94 => Fault::CrashNewLeaders {
             time: millis(rng, 400, 1500),
         },
-        95 => Fault::Restarts {
+        95 => Fault::RepeatedRestarts {
             offset: rng.random_range(1..hosts),
         },
         96..98 => Fault::SetClock {
--- a/src/replication/explore/history.rs
+++ b/src/replication/explore/history.rs
@@ -1,28 +1,29 @@
-//! Calls of the register's clients, and whether their outcomes fit one order.
+//! Calls of the register's clients, and the check that they are linearizable.
 
 use std::collections::HashMap;
 
 use crate::ids::{LogIndex, Timestamp};
 
-/// Number of a call; a write's is also the value it writes.
+/// Number of a call; a write uses it as the value to write.
 pub(super) type OpId = u64;
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
-    /// No answer, or one that says the outcome is unknown.
+    /// No answer, or an unknown outcome.
     Open,
-    /// Refused: it must never take effect.
+    /// Refused; a refused write must never take effect.
     Refused,
-    /// A write took effect, or a read saw the state, at this index.
+    /// Log index at which a write took effect, or of the last write that a read saw.
     Version(LogIndex),
 }
 
-/// One call.
+/// One call of a client.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Op {
     pub(super) is_read: bool,
     pub(super) called: Timestamp,
+    /// `Timestamp::MAX` while there is no answer.
     pub(super) answered: Timestamp,
     pub(super) outcome: Outcome,
 }
@@ -55,20 +56,21 @@
         }
     }
 
-    /// Notes that some replica applied the write at an index.
+    /// Records the index at which a replica first applied the write.
     pub(super) fn applied(&mut self, id: OpId, index: LogIndex) {
         self.applied.entry(id).or_insert(index);
     }
 
-    /// Checks the calls against the order of the log.
+    /// Checks that the calls are linearizable in the order of the log.
     ///
-    /// Each write has its own value, so a read's version names the write it saw. One order exists
-    /// exactly if versions never go back between a call that ended and one that began after it,
-    /// and no read saw a write that had not been called.
+    /// Each write has its own value, so a read's version identifies the write that it saw. The calls
+    /// are linearizable exactly if, compared with any call that ended before it started, no read has
+    /// a lower version and no write the same or a lower one, and no read saw a write that was called
+    /// only after the read ended.
     pub(super) fn check(&self) -> Result<(), String> {
         for (id, op) in &self.ops {
             if op.outcome == Outcome::Refused && self.applied.contains_key(id) {
-                return Err(format!("write {id} was refused and yet took effect"));
+                return Err(format!("write {id} was refused but took effect"));
             }
         }
         let mut ended: Vec<_> = self.versions().collect();
@@ -88,11 +90,11 @@
             };
             if behind {
                 return Err(format!(
-                    "{op:?} has version {version} although {newest} had been answered before"
+                    "{op:?} has version {version} although {newest} was answered before its call"
                 ));
             }
         }
-        self.check_reads_from_the_past()
+        self.check_reads_after_calls()
     }
 
     fn versions(&self) -> impl Iterator<Item = (Op, LogIndex)> + '_ {
@@ -102,7 +104,7 @@
         })
     }
 
-    fn check_reads_from_the_past(&self) -> Result<(), String> {
+    fn check_reads_after_calls(&self) -> Result<(), String> {
         let called: HashMap<LogIndex, Timestamp> = self
             .applied
             .iter()
@@ -110,7 +112,7 @@
             .collect();
         for (op, version) in self.versions().filter(|(op, _)| op.is_read) {
             if called.get(&version).is_some_and(|at| *at > op.answered) {
-                return Err(format!("{op:?} saw a write that was not called yet"));
+                return Err(format!("{op:?} saw a write that was called only later"));
             }
         }
         Ok(())
--- a/src/replication/explore/host.rs
+++ b/src/replication/explore/host.rs
@@ -1,4 +1,4 @@
-//! One host of the explored group: its disk, its clock and the replica that runs on it.
+//! One simulated host: its disk, its clock and the replica that runs on it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,7 +9,7 @@
     Core, CoreConfig, HardState, Message, ReadId, Recovered, Save, Snapshot,
 };
 
-/// What survives a crash.
+/// State that survives a crash.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Disk {
     pub(super) id: ReplicaId,
@@ -35,8 +35,8 @@
         }
     }
 
-    /// What a new disk under the old id holds when identities are not renewed.
-    pub(super) fn wiped(id: ReplicaId) -> Self {
+    /// An empty disk for the given replica id.
+    pub(super) fn empty(id: ReplicaId) -> Self {
         Self {
             id,
             state: Recovered {
@@ -47,7 +47,7 @@
     }
 }
 
-/// A clock that starts anywhere and runs a little fast or slow.
+/// Clocks of a host: the monotonic clock has an offset and a rate error, the Unix clock an offset.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     pub(super) offset: Duration,
@@ -65,7 +65,7 @@
     }
 }
 
-/// The register as one replica holds it.
+/// State machine of the simulated replicas: a register, of which only the version is kept.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Register {
     /// Index of the last write.
@@ -79,11 +79,11 @@
     pub(super) writes: BTreeMap<LogIndex, (Term, OpId)>,
     pub(super) reads: BTreeMap<ReadId, OpId>,
     pub(super) unsynced: VecDeque<Save>,
-    /// Last term in which it was seen to lead.
+    /// Last term in which it was observed as leader.
     pub(super) led_term: Term,
 }
 
-/// Something that reaches a replica.
+/// An input to a replica.
 #[derive(Clone, Debug)]
 pub(super) enum Input {
     Message(Message),
@@ -95,25 +95,25 @@
     DiskFull(bool),
 }
 
-/// One host.
+/// A simulated host.
 pub(super) struct Host {
     pub(super) disk: Disk,
     pub(super) clock: Clock,
     pub(super) running: Option<Running>,
-    /// Counts starts, so that what was meant for an earlier process is dropped.
-    pub(super) life: u64,
+    /// Counts starts and crashes, so that inputs for an earlier process are dropped.
+    pub(super) incarnation: u64,
     pub(super) paused_until: Timestamp,
-    /// What arrived during the pause.
-    pub(super) waiting: VecDeque<Input>,
-    /// Longest time a sync takes.
-    pub(super) slow_sync: Duration,
+    /// Inputs that arrived during a pause.
+    pub(super) queued_inputs: VecDeque<Input>,
+    /// Longest duration of a sync.
+    pub(super) longest_sync: Duration,
 }
 
 impl Host {
     pub(super) fn start(&mut self, cfg: CoreConfig, seed: u64, now: Timestamp) {
         let found = self.disk.state.clone();
-        self.life += 1;
-        self.waiting.clear();
+        self.incarnation += 1;
+        self.queued_inputs.clear();
         self.running = Some(Running {
             core: Core::new(cfg, seed, self.clock.monotonic(now), found),
             register: Register::default(),
@@ -124,7 +124,7 @@
         });
     }
 
-    /// Ends the process; the first `kept` of its unsynced saves had reached the disk.
+    /// Ends the process; the first `kept` of its unsynced saves survive on the disk.
     pub(super) fn crash(&mut self, kept: usize) {
         let Some(running) = self.running.take() else {
             return;
@@ -132,8 +132,8 @@
         for save in running.unsynced.iter().take(kept) {
             self.disk.write(save);
         }
-        self.life += 1;
-        self.waiting.clear();
+        self.incarnation += 1;
+        self.queued_inputs.clear();
         self.paused_until = Timestamp::ZERO;
     }
 }
--- a/src/replication/explore/mod.rs
+++ b/src/replication/explore/mod.rs
@@ -1,8 +1,9 @@
-//! Seeded explorer: whole groups of replicas in memory under loss, reordering, duplication,
-//! one-way cuts, pauses, crashes, wiped disks and membership changes, checked at every step.
+//! Deterministic simulation tests of the consensus core: whole groups of replicas in memory, with
+//! message loss, reordering, duplication, one-way partitions, pauses, crashes, wiped disks and
+//! membership changes. Properties are checked after every event.
 //!
-//! A schedule is fixed by its seed. To prove that the checks can fail, each safeguard of the core
-//! can be broken by itself.
+//! A seed determines its schedule. To prove that the checks can fail, each safeguard of the core can
+//! be disabled by itself.
 
 mod checks;
 mod faults;
@@ -18,63 +19,63 @@
 use super::core::Safeguards;
 use crate::ids::Timestamp;
 
-/// A property that every schedule must keep.
+/// A property that must hold in every schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Check {
-    /// At most one leader in a term.
+    /// A term has at most one leader.
     ElectionSafety,
-    /// Logs that agree on an entry agree on everything before it.
+    /// Logs that hold the same entry are the same up to that entry.
     LogMatching,
-    /// What was committed stays, at the same index, and every new leader holds it.
+    /// A committed entry stays at its index, and every new leader holds it.
     CommittedKept,
-    /// Reads and writes of a register take effect in one order between call and answer, and a
-    /// refused write never takes effect.
+    /// Reads and writes of a register are linearizable, and a refused write never takes effect.
     Linearizable,
-    /// At any instant at most one replica may act as a confirmed leader.
+    /// At most one replica holds the leader lease at any time.
     OneActingLeader,
-    /// Time in the entries never goes back.
+    /// Timestamps of log entries never decrease.
     TimeForward,
-    /// Once all faults end, a write is confirmed and all voters hold the same log.
+    /// After all faults have ended, a write succeeds and all voters have applied nearly all committed
+    /// entries.
     Progress,
     /// The core does not panic.
     NoPanic,
 }
 
-/// A safeguard that the explorer can break.
+/// A safeguard that the explorer can disable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Safeguard {
-    /// Answers and votes leave only after the sync.
+    /// Replies and votes are sent only after the sync.
     SyncBeforeAnswer,
-    /// One vote a term.
+    /// A replica votes for one candidate per term.
     SingleVote,
-    /// No vote for a log that is behind.
+    /// No vote for a candidate whose log is behind.
     LogUpToDate,
-    /// No vote while a leader is heard.
+    /// No vote within an election timeout of a leader's last message.
     LeaderStickiness,
-    /// A restarted replica gives no vote for one election timeout.
+    /// A restarted replica refuses its vote for one election timeout.
     NoVoteAfterRestart,
-    /// Only entries of the leader's own term are counted.
+    /// A leader commits by counting replicas only for entries of its own term.
     CommitOwnTerm,
-    /// A commit needs a majority.
+    /// A commit needs a majority of all voters.
     CommitMajority,
-    /// The entry before is compared.
+    /// A follower compares the term of the entry before the ones it appends.
     CheckPrevious,
-    /// Leadership ends with the quorum's silence.
+    /// A leader steps down when a quorum has not replied for too long.
     CheckQuorum,
-    /// Neither a heartbeat round nor the quorum's silence is looked at before a read.
+    /// A read needs a heartbeat round and the leader lease; both are disabled together.
     ConfirmReads,
-    /// One membership change at a time.
+    /// A membership change waits until the previous one is committed.
     OneMembershipChange,
-    /// A wiped disk gets a new id.
+    /// A replica on a wiped disk gets a new id.
     FreshIdentity,
-    /// Leadership ends before it is handed over.
+    /// A leader steps down before it transfers leadership.
     StepDownBeforeTransfer,
-    /// Time in entries never goes back.
+    /// Timestamps of log entries never decrease.
     TimeForward,
 }
 
 impl Safeguard {
-    /// Every safeguard.
+    /// All safeguards.
     pub const ALL: [Self; 14] = [
         Self::SyncBeforeAnswer,
         Self::SingleVote,
@@ -92,7 +93,7 @@
         Self::TimeForward,
     ];
 
-    fn broken(self) -> Safeguards {
+    fn disabled(self) -> Safeguards {
         let mut s = Safeguards::default();
         match self {
             Self::SyncBeforeAnswer => s.sync_before_answer = false,
@@ -117,16 +118,16 @@
     }
 }
 
-/// A schedule that broke a property.
+/// A property that did not hold in a schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Seed that repeats it.
+    /// Seed of the schedule; the same seed reproduces the violation.
     pub seed: u64,
-    /// The property.
+    /// The violated property.
     pub check: Check,
-    /// Virtual time at which it was seen.
+    /// Virtual time of the violation; zero for a panic.
     pub at: Timestamp,
-    /// What was seen.
+    /// Description of the observed state, or the panic message.
     pub detail: String,
 }
 
@@ -142,32 +143,33 @@
     }
 }
 
-/// What the schedules of a run went through; shows that it was not idle.
+/// Counts of what happened in the schedules of a run; show that the run exercised the core.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Coverage {
     /// Schedules run.
     pub schedules: u64,
-    /// Events handled by replicas.
+    /// Inputs handled by replicas.
     pub events: u64,
     /// Elections won.
     pub elections: u64,
-    /// Writes confirmed.
+    /// Writes that took effect.
     pub writes: u64,
     /// Reads answered.
     pub reads: u64,
-    /// Operations refused or of unknown outcome.
+    /// Operations that were refused, or whose outcome is unknown.
     pub refused: u64,
-    /// Crashes.
+    /// Replicas that crashed.
     pub crashes: u64,
-    /// Pauses.
+    /// Replicas that were paused.
     pub pauses: u64,
-    /// Wiped disks.
+    /// Disks replaced by empty ones.
     pub wipes: u64,
     /// Membership changes committed.
     pub membership_changes: u64,
-    /// Snapshots taken over from a leader.
+    /// Snapshots restored, from a leader or after a restart.
     pub snapshots_installed: u64,
-    /// Schedules that lost a majority of disks for good, in a moment that no check foresees.
+    /// Schedules in which a majority of disks was lost permanently because a disk was wiped while a
+    /// membership change was in progress.
     pub quorums_lost: u64,
 }
 
@@ -188,11 +190,11 @@
     }
 }
 
-/// Runs the schedules of `seeds` on `threads` threads, with a safeguard broken if one is given,
-/// and returns at the first property found broken.
+/// Runs the schedules of `seeds` on `threads` threads, with the safeguard `disabled` off if
+/// given, and stops at the first violation.
 pub fn explore(
     seeds: Range<u64>,
-    broken: Option<Safeguard>,
+    disabled: Option<Safeguard>,
     threads: usize,
 ) -> Result<Coverage, Violation> {
     let next = AtomicU64::new(seeds.start);
@@ -203,7 +205,7 @@
             if seed >= seeds.end {
                 return;
             }
-            let outcome = run_one(seed, broken);
+            let outcome = run_one(seed, disabled);
             let mut total = total.lock().unwrap_or_else(PoisonError::into_inner);
             match (outcome, &mut *total) {
                 (Ok(coverage), Ok(sum)) => sum.add(&coverage),
@@ -223,9 +225,9 @@
     total.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn run_one(seed: u64, broken: Option<Safeguard>) -> Result<Coverage, Violation> {
-    let safeguards = broken.map(Safeguard::broken).unwrap_or_default();
-    let run = || world::World::new(seed, safeguards).run();
+fn run_one(seed: u64, disabled: Option<Safeguard>) -> Result<Coverage, Violation> {
+    let safeguards = disabled.map(Safeguard::disabled).unwrap_or_default();
+    let run = || world::Simulation::new(seed, safeguards).run();
     let caught = catch_unwind(AssertUnwindSafe(run));
     caught.unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
--- a/src/replication/explore/world/damage.rs
+++ b/src/replication/explore/world/damage.rs
@@ -1,18 +1,18 @@
-//! Faults, and calls made while they last.
+//! Injection of faults, and client calls.
 
-use super::{Event, RESTART_GAP, RESTARTS, World};
+use super::{Event, RESTART_INTERVAL, RESTARTS, Simulation};
 use std::collections::HashSet;
 use std::time::Duration;
 
 use rand::RngExt;
 
 use crate::replication::core::{Membership, Payload};
-use crate::replication::explore::checks::Broken;
+use crate::replication::explore::checks::CheckFailure;
 use crate::replication::explore::faults::Fault;
 use crate::replication::explore::host::{Disk, Input};
 
-impl World {
-    /// Some host; with the given chance one that believes it leads.
+impl Simulation {
+    /// A random host; with probability `leading` one whose replica is in the leader role.
     pub(super) fn pick_host(&mut self, leading: f64) -> usize {
         let leads = |i: &usize| {
             let running = self.hosts[*i].running.as_ref();
@@ -25,9 +25,9 @@
         leaders[self.rng.random_range(0..leaders.len())]
     }
 
-    /// A client calls some host, mostly one that leads.
-    pub(super) fn call(&mut self) -> Result<(), Broken> {
-        let longest = self.mix.longest_call_gap.as_micros() as u64;
+    /// Starts a client's call to a random host, mostly to a leader.
+    pub(super) fn call(&mut self) -> Result<(), CheckFailure> {
+        let longest = self.profile.longest_call_gap.as_micros() as u64;
         let next = Duration::from_micros(self.rng.random_range(1_000..longest));
         self.schedule(next, Event::Call);
         let host = self.pick_host(0.9);
@@ -41,10 +41,10 @@
         } else {
             Input::Write(op)
         };
-        self.reach(host, input)
+        self.deliver(host, input)
     }
 
-    pub(super) fn inflict(&mut self, fault: Fault) -> Result<(), Broken> {
+    pub(super) fn apply_fault(&mut self, fault: Fault) -> Result<(), CheckFailure> {
         match fault {
             Fault::Crash { host, down } => self.crash_for(host, down),
             Fault::Pause { host, time } => {
@@ -68,13 +68,13 @@
                 }
             }
             Fault::TransferLeadership { host } => {
-                return self.reach(host, Input::TransferLeadership);
+                return self.deliver(host, Input::TransferLeadership);
             }
-            Fault::SlowDisk { host, longest } => self.hosts[host].slow_sync = longest,
-            Fault::FullDisk { host, full } => return self.reach(host, Input::DiskFull(full)),
+            Fault::SlowDisk { host, longest } => self.hosts[host].longest_sync = longest,
+            Fault::FullDisk { host, full } => return self.deliver(host, Input::DiskFull(full)),
             Fault::SetClock { host, unix } => self.hosts[host].clock.unix = unix,
-            Fault::FallingLeaders { time } => self.leaders_fall_until = self.now + time,
-            Fault::Restarts { offset } => {
+            Fault::CrashNewLeaders { time } => self.crash_leaders_until = self.now + time,
+            Fault::RepeatedRestarts { offset } => {
                 let hosts = self.hosts.len();
                 let leader = self.pick_host(1.0);
                 let host = (leader + offset) % hosts;
@@ -83,7 +83,7 @@
                 self.cuts.insert((cut_off, leader));
                 for n in 0..RESTARTS {
                     let crash = Event::Crash(host, Duration::from_millis(1));
-                    self.schedule(RESTART_GAP * n, crash);
+                    self.schedule(RESTART_INTERVAL * n, crash);
                 }
             }
             Fault::Network { loss, repeat } => (self.loss, self.repeat) = (loss, repeat),
@@ -93,8 +93,8 @@
 
     pub(super) fn crash_for(&mut self, host: usize, down: Duration) {
         self.crash(host);
-        let life = self.hosts[host].life;
-        self.schedule(down, Event::Restart(host, life));
+        let incarnation = self.hosts[host].incarnation;
+        self.schedule(down, Event::Restart(host, incarnation));
     }
 
     pub(super) fn crash(&mut self, host: usize) {
@@ -106,8 +106,8 @@
         self.hosts[host].crash(kept);
     }
 
-    /// Whether every membership that any replica holds keeps a majority of disks without those
-    /// of one host. More loss than that no protocol survives.
+    /// Whether every membership that any replica holds keeps a majority of its disks without the
+    /// disk of one host. No consensus protocol survives a larger loss.
     pub(super) fn keeps_majorities(&self, without: Option<usize>) -> bool {
         let others = self
             .hosts
@@ -115,7 +115,7 @@
             .enumerate()
             .filter(|(i, _)| Some(*i) != without);
         let alive: HashSet<_> = others.map(|(_, h)| h.disk.id).collect();
-        let keeps = |members: &Membership| {
+        let keeps_majority = |members: &Membership| {
             let left = members
                 .voters
                 .keys()
@@ -132,7 +132,7 @@
             let running = h.running.as_ref().map(|r| r.core.members());
             held.chain(running)
                 .chain([&state.snapshot.members])
-                .all(keeps)
+                .all(keeps_majority)
         })
     }
 
@@ -145,10 +145,10 @@
         } else {
             old
         };
-        self.homes.insert(id, host);
-        self.hosts[host].disk = Disk::wiped(id);
-        let life = self.hosts[host].life;
+        self.hosts_by_id.insert(id, host);
+        self.hosts[host].disk = Disk::empty(id);
+        let incarnation = self.hosts[host].incarnation;
         let down = Duration::from_millis(self.rng.random_range(5..100));
-        self.schedule(down, Event::Restart(host, life));
+        self.schedule(down, Event::Restart(host, incarnation));
     }
 }
--- a/src/replication/explore/world/effects.rs
+++ b/src/replication/explore/world/effects.rs
@@ -1,18 +1,18 @@
-//! What replicas ask for: saves, messages, replies, and the checks after each.
+//! Executes the replicas' effects, and checks the properties after each input.
 
-use super::{Event, LATE_SHARE, SNAPSHOT_LEN, World};
+use super::{Event, LATE_MESSAGE_SHARE, SNAPSHOT_LEN, Simulation};
 use std::time::Duration;
 
 use rand::RngExt;
 
 use crate::replication::core::{Effect, Entry, Message, Payload};
 use crate::replication::explore::Check;
-use crate::replication::explore::checks::Broken;
+use crate::replication::explore::checks::CheckFailure;
 use crate::replication::explore::history::{OpId, Outcome};
 use crate::replication::explore::host::Input;
 
-impl World {
-    pub(super) fn take(&mut self, host: usize, input: Input) {
+impl Simulation {
+    pub(super) fn process_input(&mut self, host: usize, input: Input) {
         self.coverage.events += 1;
         let clock = self.hosts[host].clock;
         let (now, unix) = (clock.monotonic(self.now), clock.unix(self.now));
@@ -43,17 +43,17 @@
         }
     }
 
-    /// Carries out what a replica wants and checks what has become of it.
-    pub(super) fn settle(&mut self, host: usize) -> Result<(), Broken> {
+    /// Executes a replica's effects and checks the properties.
+    pub(super) fn execute_and_check(&mut self, host: usize) -> Result<(), CheckFailure> {
         let now = self.hosts[host].clock.monotonic(self.now);
         if let Some(r) = &mut self.hosts[host].running {
             r.core.replicate(now);
         }
-        self.carry_out(host)?;
+        self.execute_effects(host)?;
         self.check_host(host)
     }
 
-    pub(super) fn carry_out(&mut self, host: usize) -> Result<(), Broken> {
+    pub(super) fn execute_effects(&mut self, host: usize) -> Result<(), CheckFailure> {
         loop {
             let Some(r) = &mut self.hosts[host].running else {
                 return Ok(());
@@ -63,30 +63,34 @@
                 return Ok(());
             }
             for effect in effects {
-                self.carry_out_one(host, effect)?;
+                self.execute_effect(host, effect)?;
             }
         }
     }
 
-    pub(super) fn carry_out_one(&mut self, host: usize, effect: Effect) -> Result<(), Broken> {
+    pub(super) fn execute_effect(
+        &mut self,
+        host: usize,
+        effect: Effect,
+    ) -> Result<(), CheckFailure> {
         let now = self.hosts[host].clock.monotonic(self.now);
-        let life = Some(self.hosts[host].life);
+        let incarnation = Some(self.hosts[host].incarnation);
         let Some(r) = &mut self.hosts[host].running else {
             return Ok(());
         };
         match effect {
             Effect::Save(save) => {
                 for entry in &save.entries {
-                    self.checks.appends(&r.core, entry)?;
+                    self.checks.check_append(&r.core, entry)?;
                 }
                 let seq = save.seq;
                 r.unsynced.push_back(save);
-                let longest = self.hosts[host].slow_sync.as_micros() as u64;
+                let longest = self.hosts[host].longest_sync.as_micros() as u64;
                 let time = Duration::from_micros(self.rng.random_range(100..=longest.max(200)));
-                self.schedule_input(time, host, life, Input::Synced(seq));
+                self.schedule_input(time, host, incarnation, Input::Synced(seq));
             }
             Effect::Send(message) => {
-                if let Some(to) = self.homes.get(&message.to).copied() {
+                if let Some(to) = self.hosts_by_id.get(&message.to).copied() {
                     self.transmit(host, to, message);
                 }
             }
@@ -127,11 +131,11 @@
         Ok(())
     }
 
-    pub(super) fn apply(&mut self, host: usize, entry: &Entry) -> Result<(), Broken> {
+    pub(super) fn apply(&mut self, host: usize, entry: &Entry) -> Result<(), CheckFailure> {
         let Some(r) = &mut self.hosts[host].running else {
             return Ok(());
         };
-        self.checks.applies(&r.core, entry)?;
+        self.checks.check_apply(&r.core, entry)?;
         let Payload::Command(command) = &entry.payload else {
             return Ok(());
         };
@@ -145,20 +149,20 @@
             let outcome = Outcome::Version(entry.index);
             self.history.answer(op, outcome, self.now);
             self.coverage.writes += 1;
-            self.confirmed_in_calm |= self.calm;
+            self.recovery_write_confirmed |= self.faults_ended;
         }
         Ok(())
     }
 
-    pub(super) fn check_host(&mut self, host: usize) -> Result<(), Broken> {
+    pub(super) fn check_host(&mut self, host: usize) -> Result<(), CheckFailure> {
         let Some(r) = &mut self.hosts[host].running else {
             return Ok(());
         };
         if r.core.is_leader() {
             if r.led_term != r.core.term() {
                 r.led_term = r.core.term();
-                self.checks.leads(&r.core)?;
-                if self.now < self.leaders_fall_until {
+                self.checks.check_leader(&r.core)?;
+                if self.now < self.crash_leaders_until {
                     let after = Duration::from_millis(self.rng.random_range(0..30));
                     let down = Duration::from_millis(self.rng.random_range(1..200));
                     self.schedule(after, Event::Crash(host, down));
@@ -178,10 +182,10 @@
                 acts.then(|| (core.id(), core.term()))
             })
             .collect();
-        // With reads unguarded, their own check must find it.
+        // With `Safeguard::ConfirmReads` disabled, `Check::Linearizable` must find the violation.
         let guarded = self.template.safeguards.read_after_round;
         if acting.len() > 1 && guarded {
-            let detail = format!("(replica, term) {acting:?} may act");
+            let detail = format!("several replicas may act as leader, (id, term): {acting:?}");
             return Err((Check::OneActingLeader, detail));
         }
         Ok(())
@@ -196,8 +200,8 @@
             if self.rng.random_bool(self.loss) {
                 continue;
             }
-            let late = !self.calm && self.rng.random_bool(LATE_SHARE);
-            let usual = self.mix.longest_delay.as_micros() as u64;
+            let late = !self.faults_ended && self.rng.random_bool(LATE_MESSAGE_SHARE);
+            let usual = self.profile.longest_delay.as_micros() as u64;
             let longest = if late { 250_000 } else { usual };
             let delay = Duration::from_micros(self.rng.random_range(300..longest));
             self.schedule_input(delay, to, None, Input::Message(message.clone()));
--- a/src/replication/explore/world/mod.rs
+++ b/src/replication/explore/world/mod.rs
@@ -1,4 +1,4 @@
-//! A whole group in virtual time: hosts, network, clients and faults.
+//! Simulation of a whole group in virtual time: hosts, network, clients and faults.
 
 mod damage;
 mod effects;
@@ -15,8 +15,8 @@
 use crate::replication::core::{
     CoreConfig, Entry, HardState, Member, Membership, Payload, Recovered, Safeguards,
 };
-use crate::replication::explore::checks::{Broken, Checks};
-use crate::replication::explore::faults::{self, Mix};
+use crate::replication::explore::checks::{CheckFailure, Checks};
+use crate::replication::explore::faults::{self, FaultProfile};
 use crate::replication::explore::history::History;
 use crate::replication::explore::host::{Clock, Disk, Host, Input};
 use crate::replication::explore::{Check, Coverage, Violation};
@@ -24,26 +24,26 @@
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(100);
 const HEARTBEAT: Duration = Duration::from_millis(25);
 const TICK: Duration = Duration::from_millis(10);
-/// Time with faults.
-const TROUBLE: Duration = Duration::from_millis(2500);
-/// Time after all faults have ended, within which the group must work again.
-const RECOVERY: Duration = Duration::from_millis(2500);
-/// Bytes of a register's snapshot; several parts long.
+/// Period in which faults occur.
+const FAULT_PERIOD: Duration = Duration::from_millis(2500);
+/// Period after the last fault, within which the group must accept writes again.
+const RECOVERY_PERIOD: Duration = Duration::from_millis(2500);
+/// Size of a register's snapshot in bytes; larger than one part.
 const SNAPSHOT_LEN: usize = 48;
-/// Messages that arrive late enough to be overtaken by many others.
-const LATE_SHARE: f64 = 0.03;
-/// Events after which a schedule counts as running away; usual are some thousands.
-const MOST_EVENTS: u64 = 200_000;
-/// Restarts in a row, and the time between two.
+/// Share of messages that are delayed enough for many later ones to arrive first.
+const LATE_MESSAGE_SHARE: f64 = 0.03;
+/// Inputs above which messages are assumed to multiply without bound; some thousands are usual.
+const MAX_EVENTS: u64 = 200_000;
+/// Restarts by one `RepeatedRestarts` fault, and the time between two.
 const RESTARTS: u32 = 30;
-const RESTART_GAP: Duration = Duration::from_millis(18);
+const RESTART_INTERVAL: Duration = Duration::from_millis(18);
 
-/// What happens at a moment.
+/// A scheduled event.
 enum Event {
     Input {
         host: usize,
-        /// Process it is meant for; any when absent.
-        life: Option<u64>,
+        /// Process for which the input is meant; any process of the host when absent.
+        incarnation: Option<u64>,
         input: Input,
     },
     Wake(usize),
@@ -54,8 +54,8 @@
     EndOfFaults,
 }
 
-/// One schedule under way.
-pub(super) struct World {
+/// State of one schedule.
+pub(super) struct Simulation {
     seed: u64,
     rng: ChaCha8Rng,
     now: Timestamp,
@@ -64,18 +64,18 @@
     hosts: Vec<Host>,
     zones: usize,
     template: CoreConfig,
-    /// Host of each replica id that ever was.
-    homes: BTreeMap<ReplicaId, usize>,
+    /// Host of each replica id, including the former ids of wiped disks.
+    hosts_by_id: BTreeMap<ReplicaId, usize>,
     cuts: BTreeSet<(usize, usize)>,
-    mix: Mix,
-    leaders_fall_until: Timestamp,
+    profile: FaultProfile,
+    crash_leaders_until: Timestamp,
     loss: f64,
     repeat: f64,
-    calm: bool,
+    faults_ended: bool,
     checks: Checks,
     history: History,
     coverage: Coverage,
-    confirmed_in_calm: bool,
+    recovery_write_confirmed: bool,
 }
 
 fn addr(host: usize) -> SocketAddr {
@@ -90,7 +90,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub(super) fn new(seed: u64, safeguards: Safeguards) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let hosts = rng.random_range(3..=6);
@@ -112,8 +112,8 @@
             chunk_bytes: 20,
             safeguards,
         };
-        let mix = Mix::draw(&mut rng);
-        let mut world = Self {
+        let profile = FaultProfile::random(&mut rng);
+        let mut sim = Self {
             seed,
             rng,
             now: Timestamp::ZERO,
@@ -122,56 +122,56 @@
             hosts: Vec::new(),
             zones,
             template,
-            homes: BTreeMap::new(),
+            hosts_by_id: BTreeMap::new(),
             cuts: BTreeSet::new(),
-            mix,
-            leaders_fall_until: Timestamp::ZERO,
+            profile,
+            crash_leaders_until: Timestamp::ZERO,
             loss: 0.0,
             repeat: 0.0,
-            calm: false,
+            faults_ended: false,
             checks: Checks::default(),
             history: History::default(),
             coverage: Coverage {
                 schedules: 1,
                 ..Coverage::default()
             },
-            confirmed_in_calm: false,
+            recovery_write_confirmed: false,
         };
-        world.form(hosts, target);
-        world
+        sim.create_hosts(hosts, target);
+        sim
     }
 
-    fn form(&mut self, hosts: usize, target: usize) {
-        // Most groups begin complete; in some, all join the first replica.
-        let founders = if self.rng.random_bool(0.2) { 1 } else { target };
+    fn create_hosts(&mut self, hosts: usize, target: usize) {
+        // Most groups start with all voters; in some, the others join the first replica.
+        let initial_voters = if self.rng.random_bool(0.2) { 1 } else { target };
         let ids: Vec<ReplicaId> = (0..hosts)
             .map(|_| self.rng.random_range(1..u64::MAX))
             .collect();
         let zones = self.zones;
-        let voters = ids.iter().take(founders).enumerate();
+        let voters = ids.iter().take(initial_voters).enumerate();
         let members = Membership {
             voters: voters.map(|(i, id)| (*id, member(i, zones))).collect(),
             learners: BTreeMap::new(),
         };
         for (i, id) in ids.into_iter().enumerate() {
-            let mut disk = Disk::wiped(id);
-            if i < founders {
-                disk.state = founded(&members);
+            let mut disk = Disk::empty(id);
+            if i < initial_voters {
+                disk.state = initial_state(&members);
             }
             let clock = Clock {
                 offset: Duration::from_millis(self.rng.random_range(10_000..90_000)),
                 rate: self.rng.random_range(0.975..1.025),
                 unix: Duration::from_millis(self.rng.random_range(1_000_000..1_000_500)),
             };
-            self.homes.insert(id, i);
+            self.hosts_by_id.insert(id, i);
             self.hosts.push(Host {
                 disk,
                 clock,
                 running: None,
-                life: 0,
+                incarnation: 0,
                 paused_until: Timestamp::ZERO,
-                waiting: Default::default(),
-                slow_sync: Duration::from_millis(2),
+                queued_inputs: Default::default(),
+                longest_sync: Duration::from_millis(2),
             });
         }
         for i in 0..hosts {
@@ -179,7 +179,7 @@
         }
         self.schedule(Duration::from_millis(150), Event::Fault);
         self.schedule(Duration::from_millis(100), Event::Call);
-        self.schedule(TROUBLE, Event::EndOfFaults);
+        self.schedule(FAULT_PERIOD, Event::EndOfFaults);
     }
 
     fn config(&self, host: usize) -> CoreConfig {
@@ -195,9 +195,9 @@
         let seed = self.rng.random();
         let now = self.now;
         self.hosts[host].start(cfg, seed, now);
-        let life = self.hosts[host].life;
+        let incarnation = self.hosts[host].incarnation;
         let first = Duration::from_micros(self.rng.random_range(0..10_000));
-        self.schedule_input(first, host, Some(life), Input::Tick);
+        self.schedule_input(first, host, Some(incarnation), Input::Tick);
     }
 
     fn schedule(&mut self, after: Duration, event: Event) {
@@ -206,31 +206,44 @@
             .insert((self.now + after, self.scheduled), event);
     }
 
-    fn schedule_input(&mut self, after: Duration, host: usize, life: Option<u64>, input: Input) {
-        self.schedule(after, Event::Input { host, life, input });
+    fn schedule_input(
+        &mut self,
+        after: Duration,
+        host: usize,
+        incarnation: Option<u64>,
+        input: Input,
+    ) {
+        self.schedule(
+            after,
+            Event::Input {
+                host,
+                incarnation,
+                input,
+            },
+        );
     }
 
     /// Runs the schedule to its end.
     pub(super) fn run(mut self) -> Result<Coverage, Violation> {
-        let end = TROUBLE + RECOVERY;
+        let end = FAULT_PERIOD + RECOVERY_PERIOD;
         while let Some(((at, _), event)) = self.events.pop_first() {
             if at > end {
                 break;
             }
             self.now = at;
-            if self.coverage.events > MOST_EVENTS {
-                let detail = "messages multiply without end".to_owned();
+            if self.coverage.events > MAX_EVENTS {
+                let detail = "too many events: messages multiply without bound".to_owned();
                 return Err(self.violation((Check::Progress, detail)));
             }
-            self.happen(event)
-                .map_err(|broken| self.violation(broken))?;
+            self.handle_event(event)
+                .map_err(|failure| self.violation(failure))?;
         }
-        self.finish().map_err(|broken| self.violation(broken))?;
+        self.finish().map_err(|failure| self.violation(failure))?;
         self.coverage.membership_changes = self.checks.membership_changes;
         Ok(self.coverage)
     }
 
-    fn violation(&self, (check, detail): Broken) -> Violation {
+    fn violation(&self, (check, detail): CheckFailure) -> Violation {
         Violation {
             seed: self.seed,
             check,
@@ -239,34 +252,42 @@
         }
     }
 
-    fn happen(&mut self, event: Event) -> Result<(), Broken> {
+    fn handle_event(&mut self, event: Event) -> Result<(), CheckFailure> {
         match event {
-            Event::Input { host, life, input } => {
-                if life.is_some_and(|life| life != self.hosts[host].life) {
+            Event::Input {
+                host,
+                incarnation,
+                input,
+            } => {
+                if incarnation
+                    .is_some_and(|incarnation| incarnation != self.hosts[host].incarnation)
+                {
                     return Ok(());
                 }
-                self.reach(host, input)
+                self.deliver(host, input)
             }
             Event::Wake(host) => self.wake(host),
-            Event::Restart(host, life) => {
-                if self.hosts[host].life == life && self.hosts[host].running.is_none() {
+            Event::Restart(host, incarnation) => {
+                if self.hosts[host].incarnation == incarnation && self.hosts[host].running.is_none()
+                {
                     self.start(host);
                 }
                 Ok(())
             }
             Event::Fault => {
-                if !self.calm {
-                    let longest = self.mix.longest_gap.as_millis() as u64;
+                if !self.faults_ended {
+                    let longest = self.profile.longest_gap.as_millis() as u64;
                     let next = Duration::from_millis(self.rng.random_range(5..longest));
                     self.schedule(next, Event::Fault);
-                    let host = self.pick_host(self.mix.at_leader);
-                    let fault = faults::draw(&mut self.rng, &self.mix, host, self.hosts.len());
-                    self.inflict(fault)?;
+                    let host = self.pick_host(self.profile.leader_share);
+                    let fault =
+                        faults::random_fault(&mut self.rng, &self.profile, host, self.hosts.len());
+                    self.apply_fault(fault)?;
                 }
                 Ok(())
             }
             Event::Crash(host, down) => {
-                if !self.calm {
+                if !self.faults_ended {
                     self.crash_for(host, down);
                 }
                 Ok(())
@@ -276,11 +297,11 @@
         }
     }
 
-    /// Hands an input to a replica, or keeps it until the replica wakes.
-    fn reach(&mut self, host: usize, input: Input) -> Result<(), Broken> {
+    /// Passes an input to a replica, or queues it while the replica is paused.
+    fn deliver(&mut self, host: usize, input: Input) -> Result<(), CheckFailure> {
         if let Input::Tick = input {
-            let life = Some(self.hosts[host].life);
-            self.schedule_input(TICK, host, life, Input::Tick);
+            let incarnation = Some(self.hosts[host].incarnation);
+            self.schedule_input(TICK, host, incarnation, Input::Tick);
         }
         if let Input::Synced(seq) = input {
             self.sync(host, seq);
@@ -291,14 +312,14 @@
         }
         if self.now < h.paused_until {
             if !matches!(input, Input::Tick) {
-                h.waiting.push_back(input);
+                h.queued_inputs.push_back(input);
             }
             return Ok(());
         }
         self.handle(host, input)
     }
 
-    /// The disk has everything up to `seq`, whether or not the process runs to hear of it.
+    /// Writes all saves up to `seq` to the disk, even while the process is paused.
     fn sync(&mut self, host: usize, seq: u64) {
         let h = &mut self.hosts[host];
         let Some(running) = &mut h.running else {
@@ -310,25 +331,25 @@
         }
     }
 
-    fn wake(&mut self, host: usize) -> Result<(), Broken> {
+    fn wake(&mut self, host: usize) -> Result<(), CheckFailure> {
         if self.now < self.hosts[host].paused_until {
             return Ok(());
         }
-        // As the runtime does, all that waits is taken before the effects are carried out.
-        let waiting = std::mem::take(&mut self.hosts[host].waiting);
-        for input in waiting {
-            self.take(host, input);
+        // Like the runtime, handles all queued inputs before it executes the effects.
+        let queued = std::mem::take(&mut self.hosts[host].queued_inputs);
+        for input in queued {
+            self.process_input(host, input);
         }
-        self.settle(host)
+        self.execute_and_check(host)
     }
 
-    fn handle(&mut self, host: usize, input: Input) -> Result<(), Broken> {
-        self.take(host, input);
-        self.settle(host)
+    fn handle(&mut self, host: usize, input: Input) -> Result<(), CheckFailure> {
+        self.process_input(host, input);
+        self.execute_and_check(host)
     }
 }
 
-fn founded(members: &Membership) -> Recovered {
+fn initial_state(members: &Membership) -> Recovered {
     let entry = Entry {
         index: 1,
         term: 1,
--- a/src/replication/machine.rs
+++ b/src/replication/machine.rs
@@ -1,114 +1,117 @@
-//! What the replicated log carries: the trait of the state machine above it, and the answers
-//! its handle gives.
+//! Interface to the user of the replicated log: the state machine trait, a replica's status, and
+//! the errors of proposals and reads.
 
 use std::net::SocketAddr;
 
 use crate::error::Result;
 use crate::ids::{LogIndex, ReplicaId, Term, Timestamp};
 
-/// A deterministic machine fed by the committed log of every replica.
+/// A deterministic state machine to which each replica applies the committed log.
 pub trait StateMachine: Send + 'static {
-    /// What a proposer gets back once its command is applied.
+    /// Result of a command, returned to its proposer once the command is applied.
     type Reply: Send + 'static;
 
-    /// Applies one committed command. `at` is the leader's Unix time and never goes back.
+    /// Applies one committed command. `at` is the Unix time of the leader that appended it, and
+    /// never decreases.
     ///
-    /// Must give the same result on every replica: no clock, no randomness, no I/O.
+    /// Must have the same effect on every replica: no clock, no randomness, no I/O.
     fn apply(&mut self, index: LogIndex, at: Timestamp, command: &[u8]) -> Self::Reply;
 
-    /// Tells the term in which this replica is about to lead; each term has one leader at most,
-    /// so it can serve as a fencing token. Called before `leadership_changed`.
+    /// Called with the new term when this replica becomes leader, before `leadership_changed`. A
+    /// term has at most one leader, so it can serve as a fencing token.
     fn term_began(&mut self, _term: Term) {}
 
-    /// Tells that this replica began or ceased to lead. `now` is its monotonic time.
+    /// Called when this replica becomes leader or steps down. `now` is its monotonic time.
     fn leadership_changed(&mut self, leading: bool, now: Timestamp);
 
-    /// Asks a leader that has confirmed its leadership at `now` (monotonic) for commands of its
-    /// own. Called after each batch of applied entries and on every tick.
+    /// Returns commands that the state machine itself wants to propose. Called on a leader that
+    /// holds the leader lease at `now` (monotonic), after each batch of applied entries, each update
+    /// of the state machine, and on every tick.
     fn lead(&mut self, now: Timestamp) -> Vec<Vec<u8>>;
 
-    /// Gives back a command of `lead` that was not taken: the disk is full, or leadership is being
-    /// handed over. A machine that counts on its commands should give it again.
+    /// Returns a command of `lead` that was refused because the disk is full or leadership is being
+    /// transferred. A state machine that depends on the command should return it from `lead` again.
     fn not_taken(&mut self, _command: Vec<u8>) {}
 
-    /// Writes the whole state.
+    /// Encodes the whole state.
     fn snapshot(&self) -> Vec<u8>;
 
-    /// Replaces the whole state by a snapshot's.
+    /// Replaces the whole state by that of a snapshot.
     fn restore(&mut self, snapshot: &[u8]) -> Result<()>;
 }
 
-/// Part a replica plays in the group.
+/// Raft role of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum Role {
     /// Receives the log but does not vote.
     #[default]
     Learner,
-    /// Votes and follows.
+    /// Receives the log from a leader and votes.
     Follower,
-    /// Asks whether an election could be won.
+    /// Asks the voters whether it could win an election; the term does not change yet.
     PreCandidate,
-    /// Stands for election.
+    /// Asks for votes in a new term.
     Candidate,
-    /// Orders the log.
+    /// Appends entries to the log and replicates them.
     Leader,
 }
 
-/// A replica's state as operators and callers see it.
+/// State of a replica, for operators and callers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ReplicaStatus {
-    /// This replica.
+    /// Id of this replica.
     pub id: ReplicaId,
-    /// Its part.
+    /// Role of this replica.
     pub role: Role,
-    /// Its election period.
+    /// Election term; each has one leader at most.
     pub term: Term,
-    /// The leader it follows, if it knows one.
+    /// Current leader, if known; may be this replica.
     pub leader: Option<ReplicaId>,
-    /// Address at which the leader answers calls, if known.
+    /// Address at which the leader serves calls, if known.
     pub leader_addr: Option<SocketAddr>,
-    /// Last entry known to be agreed.
+    /// Last entry known to be committed.
     pub committed: LogIndex,
-    /// Last entry applied.
+    /// Last entry applied to the state machine.
     pub applied: LogIndex,
-    /// Voting members.
+    /// Ids of the members that vote.
     pub voters: Vec<ReplicaId>,
-    /// Members that catch up.
+    /// Ids of the members that receive the log but don't vote.
     pub learners: Vec<ReplicaId>,
-    /// Addresses at which the members answer calls.
+    /// Addresses at which voters and learners serve calls.
     pub call_addrs: Vec<SocketAddr>,
 }
 
 /// Why a command was not applied, or may not have been.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProposeError {
-    /// Nothing was appended: another replica leads.
+    /// Nothing was appended: this replica is not the leader.
     #[error("this replica does not lead")]
     NotLeader {
-        /// Where the leader answers calls, if known.
+        /// Address at which the leader serves calls, if known.
         leader: Option<SocketAddr>,
     },
-    /// Nothing was appended: too much waits, or the disk is full.
+    /// Nothing was appended: too many commands are pending, the command is too long, or the disk is
+    /// full.
     #[error("the replica is overloaded: {0}")]
     Overloaded(&'static str),
-    /// Leadership was lost after the append; the command may yet be applied.
+    /// Leadership was lost after the append; the command may still be applied.
     #[error("leadership was lost; the outcome is unknown")]
     Unknown,
-    /// The replica stops.
-    #[error("the replica stops")]
+    /// The replica is stopping or has stopped.
+    #[error("the replica is stopping")]
     Stopping,
 }
 
 /// Why a read was refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
-    /// Another replica leads, or leadership could not be confirmed in time.
+    /// This replica is not the leader, or could not confirm its leadership.
     #[error("this replica does not lead")]
     NotLeader {
-        /// Where the leader answers calls, if known.
+        /// Address at which the leader serves calls, if known.
         leader: Option<SocketAddr>,
     },
-    /// The replica stops.
-    #[error("the replica stops")]
+    /// The replica is stopping or has stopped.
+    #[error("the replica is stopping")]
     Stopping,
 }
--- a/src/replication/runtime/config.rs
+++ b/src/replication/runtime/config.rs
@@ -9,59 +9,63 @@
 use crate::replication::core::{CoreConfig, Member, Safeguards};
 use crate::wire::CellKeys;
 
-/// What a replica does about the group it belongs to.
+/// How a replica forms or joins its group at a start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Formation {
-    /// Asks the other replicas to take it in; on a folder in use it goes on as what it was.
+    /// Asks the other replicas to add it; on a data folder in use, it continues as the replica of
+    /// that folder.
     #[default]
     Join,
-    /// Forms a group of one that others join. Refused on a folder that holds a log already.
+    /// Forms a group of one that others join. Refused on a data folder that already holds a log.
     FormGroup,
-    /// Forms a group of one on an empty folder; on a folder in use it goes on as what it was.
+    /// Forms a group of one on an empty data folder; on one in use, it continues as the replica of
+    /// that folder.
     FormOnce,
-    /// Makes the replica of this folder the only voter of its group. The last resort when a
-    /// quorum is gone for good: what only the lost replicas held is lost.
+    /// Makes the replica of this data folder the only voter of its group, to recover from a
+    /// permanent loss of the quorum. Entries that only the lost replicas held are lost.
     ForceGroupOfOne,
 }
 
 /// Settings of one replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
-    /// Folder of all its files.
+    /// Data folder with all files of the replica.
     pub data: PathBuf,
-    /// Keys that other replicas must hold.
+    /// Keys with which replicas authenticate each other.
     pub keys: CellKeys,
-    /// Its availability zone.
+    /// Availability zone of the replica.
     pub zone: ZoneName,
-    /// Where other replicas connect.
+    /// Address to listen on for other replicas.
     pub replica_listen: SocketAddr,
-    /// Address others are told to connect to; the one listened on when absent.
+    /// Address to which other replicas connect; the one listened on when absent.
     pub replica_advertise: Option<SocketAddr>,
-    /// Address at which it answers calls while it leads.
+    /// Address at which the replica serves calls while it leads.
     pub call_addr: SocketAddr,
-    /// Where the other replicas listen; with this one they make the voters wanted.
+    /// Addresses at which the other configured replicas listen.
     pub peers: Vec<SocketAddr>,
-    /// Shortest silence of a leader before an election.
+    /// Shortest time without a leader's message before an election; a random part is added.
     pub election_timeout: Duration,
     /// Time between a leader's heartbeats.
     pub heartbeat: Duration,
-    /// Bytes of log that cause a snapshot.
+    /// Size of the log in bytes above which a snapshot is taken.
     pub snapshot_bytes: u64,
-    /// Silence after which a member is replaced.
+    /// Time without a reply after which a member is replaced.
     pub replace_after: Duration,
-    /// Voters wanted; counted from `peers` when absent.
+    /// Number of voters to reach; one more than `peers` when absent. At most `MAX_VOTERS`.
     pub target_voters: Option<usize>,
-    /// What it does about its group.
+    /// How the replica forms or joins its group.
     pub form: Formation,
-    /// Called when the disk cannot be trusted any more; must end the process.
+    /// Called when a write or sync has failed; must end the process, as it is unknown what the disk
+    /// holds.
     pub on_disk_failure: fn(&Error),
 }
 
 impl ReplicaConfig {
-    /// Most voters of a group; further replicas stand by as learners.
+    /// Most voters of a group; further replicas are learners that can replace a lost voter.
     pub const MAX_VOTERS: usize = 5;
 
-    /// Ends the process, so that nothing is answered from a page cache that may lie.
+    /// Prints the error and ends the process, so that nothing is served from a page cache whose
+    /// content may not be on disk.
     pub fn end_process(e: &Error) {
         eprintln!("{e}");
         std::process::exit(crate::ExitCode::GeneralError as i32);
--- a/src/replication/runtime/control.rs
+++ b/src/replication/runtime/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: an actor that owns the core and the state machine.
+//! The control thread: an actor that owns the consensus core and the state machine.
 
 use std::collections::BTreeMap;
 
@@ -8,8 +8,8 @@
 
 use super::disk::DiskQueue;
 use super::messages::{
-    Confirmation, DiskNews, FromPeer, Inform, Local, Propose, Read, ReadJob, Stop, Tick,
-    TransferLeadership,
+    Confirmation, DiskEvent, FromPeer, Propose, Read, ReadJob, ReadLocal, Stop, Tick,
+    TransferLeadership, UpdateMachine,
 };
 use super::peers::PeerQueue;
 use super::{monotonic_now, unix_now};
@@ -18,11 +18,11 @@
 use crate::replication::core::{Core, Effect, Entry, Payload, ReadId, Refused, Save};
 use crate::replication::machine::{ProposeError, ReadError, ReplicaStatus, StateMachine};
 
-/// Most commands that wait for agreement at once.
+/// Most commands that may wait to be committed.
 const MAX_PENDING: usize = 16 * 1024;
-/// Longest command in bytes; some fit into one message with room to spare.
+/// Longest command in bytes; a message to a peer can hold several of this length.
 const MAX_COMMAND: usize = 8 * 1024 * 1024;
-/// Most messages taken before the effects are carried out.
+/// Most messages handled before the effects are executed.
 const MAX_BATCH: usize = 1024;
 
 type ReplySender<M> = oneshot::Sender<Result<<M as StateMachine>::Reply, ProposeError>>;
@@ -32,14 +32,18 @@
     pub(super) core: Core,
     pub(super) machine: M,
     pub(super) disk: Option<DiskQueue>,
+    /// The disk thread has a batch whose result it has not reported yet.
     pub(super) disk_busy: bool,
-    pub(super) unsaved: Vec<Save>,
+    /// Saves to pass to the disk thread once it is free.
+    pub(super) queued_saves: Vec<Save>,
     pub(super) peers: PeerQueue,
     pub(super) status: watch::Sender<ReplicaStatus>,
     pub(super) on_disk_failure: fn(&Error),
+    /// Proposals that are appended and not applied.
     pub(super) pending: BTreeMap<LogIndex, (Term, ReplySender<M>)>,
     pub(super) reads: BTreeMap<ReadId, ReadJob<M>>,
-    pub(super) led_since_tick: bool,
+    /// The state machine must be asked for commands, although no entry was applied.
+    pub(super) machine_due: bool,
     pub(super) stopped: bool,
 }
 
@@ -49,31 +53,31 @@
     async fn stopped(self) {}
 }
 
-/// Takes messages in batches: what many proposals ask for is saved and sent together.
+/// Handles messages in batches, so that many proposals are saved and sent together.
 pub(super) async fn run<M: StateMachine>(mailbox: Mailbox<Control<M>>, mut control: Control<M>) {
     let address = mailbox.address();
-    control.carry_out();
+    control.execute_effects();
     while !control.stopped {
         let _ = mailbox.next().await.dispatch_to(&mut control).await;
         for _ in 1..MAX_BATCH {
-            // Looked at first: a receive that is begun and given up can lose a message that
-            // arrives at that moment, and with it a command or the news of a sync.
+            // Checked before receiving: a receive that is cancelled can lose a message that arrives
+            // at that moment, such as a command or the result of a sync.
             if address.is_empty() {
                 break;
             }
             let _ = mailbox.next().await.dispatch_to(&mut control).await;
         }
         if !control.stopped {
-            control.carry_out();
+            control.execute_effects();
         }
     }
-    control.refuse_all();
+    control.fail_pending_on_stop();
 }
 
 impl<M: StateMachine> Control<M> {
-    /// Carries out what the core wants, until it wants nothing more.
-    fn carry_out(&mut self) {
-        let mut applied = std::mem::take(&mut self.led_since_tick);
+    /// Executes the core's effects until there are none left.
+    fn execute_effects(&mut self) {
+        let mut applied = std::mem::take(&mut self.machine_due);
         self.core.replicate(monotonic_now());
         loop {
             let effects = self.core.take_effects();
@@ -82,15 +86,15 @@
             }
             for effect in effects {
                 applied |= matches!(effect, Effect::Apply(_));
-                self.carry_out_one(effect);
+                self.execute_effect(effect);
             }
             if std::mem::take(&mut applied) {
-                self.lead();
+                self.propose_machine_commands();
             }
         }
-        self.save_more();
+        self.submit_saves();
         if !self.core.is_leader() {
-            self.fail_waiting();
+            self.fail_pending();
         }
         let status = self.core.status();
         self.status.send_if_modified(|old| {
@@ -100,9 +104,9 @@
         });
     }
 
-    fn carry_out_one(&mut self, effect: Effect) {
+    fn execute_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Save(save) => self.unsaved.push(save),
+            Effect::Save(save) => self.queued_saves.push(save),
             Effect::Send(message) => {
                 let addr = self.core.members().get(message.to).map(|m| m.addr);
                 self.peers.send(addr, message);
@@ -111,7 +115,7 @@
             Effect::Apply(entries) => entries.into_iter().for_each(|e| self.apply(e)),
             Effect::Restore(snapshot) => {
                 if let Err(e) = self.machine.restore(&snapshot.data) {
-                    self.fail(&e);
+                    self.stop_on_failure(&e);
                 }
             }
             Effect::Leadership(leading) => {
@@ -119,7 +123,7 @@
                     self.machine.term_began(self.core.term());
                 }
                 self.machine.leadership_changed(leading, monotonic_now());
-                self.led_since_tick |= leading;
+                self.machine_due |= leading;
             }
             Effect::ReadsReady(through) => self.run_reads(through),
             Effect::TakeSnapshot(index) => {
@@ -153,23 +157,23 @@
     }
 
     fn run_if_confirmed(&mut self, job: ReadJob<M>) {
-        // Read now: this thread may have been paused since the confirmation.
+        // Reads the clock again: this thread may have been paused since leadership was confirmed.
         let now = monotonic_now();
         if self.core.is_confirmed(now) {
             job(Ok((&mut self.machine, now)));
         } else {
-            job(Err(self.not_leading()));
+            job(Err(self.not_leader_error()));
         }
     }
 
-    /// Lets the machine propose commands of its own while leadership is confirmed.
-    fn lead(&mut self) {
+    /// Proposes the state machine's own commands while this replica holds the leader lease.
+    fn propose_machine_commands(&mut self) {
         let now = monotonic_now();
         if !self.core.is_confirmed(now) {
             return;
         }
         for command in self.machine.lead(now) {
-            // Shared, not copied: a refusal is rare, and a batch may hold hundreds of starts.
+            // Shared, not copied: refusals are rare, and a batch may hold hundreds of starts.
             let command = Bytes::from(command);
             let taken = self.core.propose(now, unix_now(), command.clone());
             if taken.is_err() {
@@ -179,25 +183,27 @@
         self.core.replicate(now);
     }
 
-    fn save_more(&mut self) {
-        if self.disk_busy || self.unsaved.is_empty() {
+    fn submit_saves(&mut self) {
+        if self.disk_busy || self.queued_saves.is_empty() {
             return;
         }
         if let Some(disk) = &self.disk {
-            self.disk_busy = disk.try_send(std::mem::take(&mut self.unsaved)).is_ok();
+            self.disk_busy = disk
+                .try_send(std::mem::take(&mut self.queued_saves))
+                .is_ok();
         }
     }
 
-    fn fail_waiting(&mut self) {
+    fn fail_pending(&mut self) {
         for (_, (_, tx)) in std::mem::take(&mut self.pending) {
             let _ = tx.send(Err(ProposeError::Unknown));
         }
         for (_, job) in std::mem::take(&mut self.reads) {
-            job(Err(self.not_leading()));
+            job(Err(self.not_leader_error()));
         }
     }
 
-    fn refuse_all(&mut self) {
+    fn fail_pending_on_stop(&mut self) {
         for (_, (_, tx)) in std::mem::take(&mut self.pending) {
             let _ = tx.send(Err(ProposeError::Unknown));
         }
@@ -206,7 +212,7 @@
         }
     }
 
-    fn not_leading(&self) -> ReadError {
+    fn not_leader_error(&self) -> ReadError {
         ReadError::NotLeader {
             leader: self.other_leader(),
         }
@@ -219,8 +225,8 @@
             .filter(|_| status.leader != Some(status.id))
     }
 
-    fn fail(&mut self, e: &Error) {
-        // Nothing more leaves: the loop ends before the next effect.
+    fn stop_on_failure(&mut self, e: &Error) {
+        // Ends the loop in `run` before it executes effects again.
         self.stopped = true;
         (self.on_disk_failure)(e);
     }
@@ -257,36 +263,36 @@
 impl<M: StateMachine> Handler<Read<M>> for Control<M> {
     type Return = ();
 
-    async fn handle(&mut self, Read { by, job }: Read<M>, _: &mut Context<Self>) {
-        match by {
+    async fn handle(&mut self, Read { confirmation, job }: Read<M>, _: &mut Context<Self>) {
+        match confirmation {
             Confirmation::Round => match self.core.read(monotonic_now()) {
                 Ok(id) => {
                     self.reads.insert(id, job);
                 }
-                Err(_) => job(Err(self.not_leading())),
+                Err(_) => job(Err(self.not_leader_error())),
             },
             Confirmation::Lease => {
                 self.run_if_confirmed(job);
-                self.led_since_tick = true;
+                self.machine_due = true;
             }
         }
     }
 }
 
-impl<M: StateMachine> Handler<Local<M>> for Control<M> {
+impl<M: StateMachine> Handler<ReadLocal<M>> for Control<M> {
     type Return = ();
 
-    async fn handle(&mut self, Local(job): Local<M>, _: &mut Context<Self>) {
+    async fn handle(&mut self, ReadLocal(job): ReadLocal<M>, _: &mut Context<Self>) {
         job(&self.machine);
     }
 }
 
-impl<M: StateMachine> Handler<Inform<M>> for Control<M> {
+impl<M: StateMachine> Handler<UpdateMachine<M>> for Control<M> {
     type Return = ();
 
-    async fn handle(&mut self, Inform(job): Inform<M>, _: &mut Context<Self>) {
+    async fn handle(&mut self, UpdateMachine(job): UpdateMachine<M>, _: &mut Context<Self>) {
         job(&mut self.machine, monotonic_now());
-        self.led_since_tick = true;
+        self.machine_due = true;
     }
 }
 
@@ -298,19 +304,19 @@
     }
 }
 
-impl<M: StateMachine> Handler<DiskNews> for Control<M> {
+impl<M: StateMachine> Handler<DiskEvent> for Control<M> {
     type Return = ();
 
-    async fn handle(&mut self, news: DiskNews, _: &mut Context<Self>) {
+    async fn handle(&mut self, event: DiskEvent, _: &mut Context<Self>) {
         let now = monotonic_now();
-        match news {
-            DiskNews::Synced(seq) => {
+        match event {
+            DiskEvent::Synced(seq) => {
                 self.disk_busy = false;
                 self.core.disk_full(now, false);
                 self.core.saved(now, seq);
             }
-            DiskNews::Full => self.core.disk_full(now, true),
-            DiskNews::Failed(e) => self.fail(&e),
+            DiskEvent::Full => self.core.disk_full(now, true),
+            DiskEvent::Failed(e) => self.stop_on_failure(&e),
         }
     }
 }
@@ -320,7 +326,7 @@
 
     async fn handle(&mut self, _: Tick, _: &mut Context<Self>) {
         self.core.tick(monotonic_now());
-        self.led_since_tick = true;
+        self.machine_due = true;
     }
 }
 
--- a/src/replication/runtime/disk.rs
+++ b/src/replication/runtime/disk.rs
@@ -1,4 +1,4 @@
-//! The disk thread: writes and syncs whole batches of saves.
+//! The disk thread: writes and syncs batches of saves.
 
 use std::sync::mpsc;
 use std::thread;
@@ -8,36 +8,36 @@
 use xtra::Address;
 
 use super::control::Control;
-use super::messages::DiskNews;
+use super::messages::DiskEvent;
 use crate::replication::core::Save;
 use crate::replication::machine::StateMachine;
 use crate::storage::{Files, Store, WriteError};
 
-/// Time between two tries on a full disk.
+/// Time between two attempts on a full disk.
 const FULL_RETRY: Duration = Duration::from_millis(500);
 
-/// Sending end towards the disk thread; holds one batch at most.
+/// Sender to the disk thread; the queue holds one batch.
 pub(super) type DiskQueue = mpsc::SyncSender<Vec<Save>>;
 
-/// Runs until the queue's sender is dropped.
+/// Runs until the queue's sender is dropped, the control thread ends or the disk fails.
 pub(super) fn run<M: StateMachine>(
     mut store: Store<impl Files>,
     queue: mpsc::Receiver<Vec<Save>>,
     control: Address<Control<M>>,
 ) {
-    let tell = |news| block_on(control.send(news).detach()).is_ok();
+    let notify = |event| block_on(control.send(event).detach()).is_ok();
     while let Ok(saves) = queue.recv() {
         let last = saves.last().map_or(0, |s| s.seq);
-        let mut told_full = false;
-        let news = loop {
+        let mut reported_full = false;
+        let event = loop {
             match store.write(&saves) {
-                Ok(()) => break DiskNews::Synced(last),
-                Err(WriteError::Failed(e)) => break DiskNews::Failed(e),
+                Ok(()) => break DiskEvent::Synced(last),
+                Err(WriteError::Failed(e)) => break DiskEvent::Failed(e),
                 Err(WriteError::Full) => {
-                    if !told_full && !tell(DiskNews::Full) {
+                    if !reported_full && !notify(DiskEvent::Full) {
                         return;
                     }
-                    told_full = true;
+                    reported_full = true;
                     thread::sleep(FULL_RETRY);
                     if !control.is_connected() {
                         return;
@@ -45,8 +45,8 @@
                 }
             }
         };
-        let failed = matches!(news, DiskNews::Failed(_));
-        if !tell(news) || failed {
+        let failed = matches!(event, DiskEvent::Failed(_));
+        if !notify(event) || failed {
             return;
         }
     }
--- a/src/replication/runtime/handle.rs
+++ b/src/replication/runtime/handle.rs
@@ -1,4 +1,4 @@
-//! Starting a replica, and the handle through which the rest of the process uses it.
+//! Starting a replica, and the handle with which the rest of the process uses it.
 
 use std::collections::BTreeMap;
 use std::net::TcpListener;
@@ -11,7 +11,9 @@
 
 use super::config::{Formation, ReplicaConfig};
 use super::control::{self, Control};
-use super::messages::{Confirmation, Inform, Local, Propose, Read, Stop, Tick, TransferLeadership};
+use super::messages::{
+    Confirmation, Propose, Read, ReadLocal, Stop, Tick, TransferLeadership, UpdateMachine,
+};
 use super::{disk, monotonic_now, peers};
 use crate::error::{Error, Result, Step};
 use crate::ids::Timestamp;
@@ -20,12 +22,12 @@
 use crate::replication::machine::{ProposeError, ReadError, ReplicaStatus, StateMachine};
 use crate::storage::{Files, RealFiles, Store, WriteError};
 
-/// Messages that may wait for the control thread.
+/// Most messages queued for the control thread.
 const MAILBOX: usize = 4096;
-/// Ticks in one heartbeat.
-const TICKS_A_HEARTBEAT: u32 = 4;
+/// Ticks of the core's timers in one heartbeat interval.
+const TICKS_PER_HEARTBEAT: u32 = 4;
 
-/// Namespace of the ways to start a replica.
+/// Starts replicas; a running one is used through its `ReplicaHandle`.
 #[derive(Debug)]
 pub struct Replica;
 
@@ -33,7 +35,8 @@
 pub struct ReplicaHandle<M: StateMachine> {
     control: Address<Control<M>>,
     status: watch::Receiver<ReplicaStatus>,
-    patience: Duration,
+    /// Longest time that a leadership transfer is waited for.
+    transfer_timeout: Duration,
     ended: watch::Receiver<bool>,
 }
 
@@ -42,7 +45,7 @@
         Self {
             control: self.control.clone(),
             status: self.status.clone(),
-            patience: self.patience,
+            transfer_timeout: self.transfer_timeout,
             ended: self.ended.clone(),
         }
     }
@@ -54,7 +57,7 @@
         Self::start_with(cfg, machine, RealFiles)
     }
 
-    /// Starts with the given file operations.
+    /// Like `start`, with the given file operations; tests use it to inject disk faults.
     pub fn start_with<M: StateMachine>(
         cfg: ReplicaConfig,
         machine: M,
@@ -66,7 +69,7 @@
         })?;
         let addr = listener
             .local_addr()
-            .map_err(|e| Error::caused(Step::Listen, "reading the own address", e))?;
+            .map_err(|e| Error::caused(Step::Listen, "reading the local address", e))?;
         let core_cfg = cfg.core(opened.id, addr);
         let mut found = opened.recovered;
         let forms = match cfg.form {
@@ -85,13 +88,13 @@
     }
 }
 
-/// Whether a folder has never held a log.
+/// Whether the data folder has never held a log.
 fn is_unused(found: &Recovered) -> bool {
-    let nothing = found.hard == HardState::default() && found.entries.is_empty();
-    nothing && found.snapshot.index == 0
+    let no_log = found.hard == HardState::default() && found.entries.is_empty();
+    no_log && found.snapshot.index == 0
 }
 
-/// Writes the first entry of a group of one.
+/// Forms a group of one: writes a first log entry whose membership has only this replica.
 fn form_group(
     store: &mut Store<impl Files>,
     core: &CoreConfig,
@@ -153,19 +156,19 @@
         machine,
         disk: Some(disk_tx),
         disk_busy: false,
-        unsaved: Vec::new(),
+        queued_saves: Vec::new(),
         peers: peer_queue,
         status: status_tx,
         on_disk_failure: cfg.on_disk_failure,
         pending: BTreeMap::new(),
         reads: BTreeMap::new(),
-        led_since_tick: false,
+        machine_due: false,
         stopped: false,
     };
-    let tick = cfg.heartbeat / TICKS_A_HEARTBEAT;
+    let tick = cfg.heartbeat / TICKS_PER_HEARTBEAT;
     thread("replica-control", move || {
         run_control(control, mailbox, tick);
-        // The queues' senders are gone now, so both threads end.
+        // The senders of both queues are dropped by now, so both threads end.
         let _ = disk_thread.join();
         let _ = peer_thread.join();
         let _ = ended_tx.send(true);
@@ -173,7 +176,7 @@
     Ok(ReplicaHandle {
         control: address,
         status,
-        patience: cfg.election_timeout * 2,
+        transfer_timeout: cfg.election_timeout * 2,
         ended,
     })
 }
@@ -210,20 +213,21 @@
 }
 
 impl<M: StateMachine> ReplicaHandle<M> {
-    /// Gets a command agreed and applied, and returns the machine's reply.
+    /// Appends a command to the log and returns the state machine's reply once it is committed and
+    /// applied.
     pub async fn propose(&self, command: Vec<u8>) -> Result<M::Reply, ProposeError> {
         let (reply, rx) = oneshot::channel();
         let message = Propose { command, reply };
         if self.control.send(message).detach().await.is_err() {
             return Err(ProposeError::Stopping);
         }
-        // A reply that is dropped was waiting in a mailbox or a log that ended.
+        // The sender was dropped with the control thread; the command may already be in the log.
         rx.await.unwrap_or(Err(ProposeError::Unknown))
     }
 
-    /// Runs `f` on the state once a quorum has confirmed, after this call, that this replica
-    /// leads, and everything agreed before the call is applied. The time is the monotonic time
-    /// of that moment.
+    /// Runs `f` on the state once a quorum has confirmed, after this call, that this replica is the
+    /// leader, and everything committed before the call is applied. `f` gets the monotonic time at
+    /// which it runs.
     pub async fn read<R: Send + 'static>(
         &self,
         f: impl FnOnce(&mut M, Timestamp) -> R + Send + 'static,
@@ -231,10 +235,10 @@
         self.read_by(Confirmation::Round, f).await
     }
 
-    /// Runs `f` on the state if a quorum's answers of the last moments still confirm that this
-    /// replica leads. No round of messages is made: voters promise not to elect another leader
-    /// within their election timeout, and the clock used here counts suspensions as well, so what
-    /// `f` sees was the newest state at some moment after this call.
+    /// Runs `f` on the state if this replica holds the leader lease. No heartbeat round is needed:
+    /// voters do not elect another leader within their election timeout, and the clock used here
+    /// includes suspensions, so the state that `f` gets was the newest at some moment after this
+    /// call.
     pub async fn leased<R: Send + 'static>(
         &self,
         f: impl FnOnce(&mut M, Timestamp) -> R + Send + 'static,
@@ -244,7 +248,7 @@
 
     async fn read_by<R: Send + 'static>(
         &self,
-        by: Confirmation,
+        confirmation: Confirmation,
         f: impl FnOnce(&mut M, Timestamp) -> R + Send + 'static,
     ) -> Result<R, ReadError> {
         let (tx, rx) = oneshot::channel();
@@ -254,7 +258,7 @@
         let sent = self
             .control
             .send(Read {
-                by,
+                confirmation,
                 job: Box::new(job),
             })
             .detach()
@@ -265,13 +269,13 @@
         rx.await.unwrap_or(Err(ReadError::Stopping))
     }
 
-    /// Tells the machine something; what it wants to propose then is proposed if this replica
-    /// leads. Without effect once the replica has ended.
+    /// Runs `f` on the state machine, outside the log, then proposes the commands that the state
+    /// machine returns if this replica leads. No effect once the replica has ended.
     pub async fn inform(&self, f: impl FnOnce(&mut M, Timestamp) + Send + 'static) {
-        let _ = self.control.send(Inform(Box::new(f))).detach().await;
+        let _ = self.control.send(UpdateMachine(Box::new(f))).detach().await;
     }
 
-    /// Runs `f` on this replica's own state, which may be behind; `None` once it has ended.
+    /// Runs `f` on this replica's own state, which may be stale. `None` once the replica has ended.
     pub async fn local<R: Send + 'static>(
         &self,
         f: impl FnOnce(&M) -> R + Send + 'static,
@@ -280,28 +284,29 @@
         let job = move |machine: &M| {
             let _ = tx.send(f(machine));
         };
-        let sent = self.control.send(Local(Box::new(job))).detach().await;
+        let sent = self.control.send(ReadLocal(Box::new(job))).detach().await;
         sent.ok().map(drop)?;
         rx.await.ok()
     }
 
-    /// The replica's state and its changes.
+    /// Current status of the replica; the receiver is notified of every change.
     pub fn status(&self) -> watch::Receiver<ReplicaStatus> {
         self.status.clone()
     }
 
-    /// Moves leadership to another voter, if this replica leads and there is one.
+    /// Transfers leadership to another voter, if this replica leads and an active one exists. Waits
+    /// up to two election timeouts for it.
     pub async fn hand_over(&self) {
         if self.control.send(TransferLeadership).await.is_err() {
             return;
         }
         let mut status = self.status.clone();
         let own = status.borrow().id;
-        let moved = status.wait_for(|s| s.leader != Some(own));
-        let _ = tokio::time::timeout(self.patience, moved).await;
+        let transferred = status.wait_for(|s| s.leader != Some(own));
+        let _ = tokio::time::timeout(self.transfer_timeout, transferred).await;
     }
 
-    /// Hands leadership over, ends the replica and waits for its files to be closed.
+    /// Transfers leadership, ends the replica and waits until its files are closed.
     pub async fn stop(&self) {
         let others = self.status.borrow().voters.len() > 1;
         if others {
@@ -310,13 +315,13 @@
         self.abort().await;
     }
 
-    /// Ends the replica at once, as a crash would: leadership is not handed over.
+    /// Ends the replica at once, without a leadership transfer, and waits until its files are closed.
     pub async fn abort(&self) {
         let _ = self.control.send(Stop).await;
         self.ended().await;
     }
 
-    /// Waits until the replica has ended, by `stop` or by a failure of its disk.
+    /// Waits until the replica has ended, by `stop`, `abort` or a disk failure.
     pub async fn ended(&self) {
         let mut ended = self.ended.clone();
         let _ = ended.wait_for(|done| *done).await;
--- a/src/replication/runtime/messages.rs
+++ b/src/replication/runtime/messages.rs
@@ -1,4 +1,4 @@
-//! What the control thread is told.
+//! Messages to the control thread.
 
 use tokio::sync::oneshot;
 
@@ -7,57 +7,57 @@
 use crate::replication::core::Message;
 use crate::replication::machine::{ProposeError, ReadError, StateMachine};
 
-/// A command for the log.
+/// Appends a command to the log.
 pub(super) struct Propose<M: StateMachine> {
     pub(super) command: Vec<u8>,
     pub(super) reply: oneshot::Sender<Result<M::Reply, ProposeError>>,
 }
 
-/// Work on the state, run once leadership is confirmed, or told why not.
+/// Work on the state: runs with the state once leadership is confirmed, or else with the error.
 pub(super) type ReadJob<M> = Box<dyn FnOnce(Result<(&mut M, Timestamp), ReadError>) + Send>;
 
 /// How leadership is confirmed before a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Confirmation {
-    /// By a round of messages that begins after the read.
+    /// By a heartbeat round that starts after the read.
     Round,
-    /// By the quorum's latest answers, while they still bind it.
+    /// By the leader lease, which the quorum's latest replies extend.
     Lease,
 }
 
-/// A read under confirmed leadership.
+/// Runs a read under confirmed leadership.
 pub(super) struct Read<M> {
-    pub(super) by: Confirmation,
+    pub(super) confirmation: Confirmation,
     pub(super) job: ReadJob<M>,
 }
 
-/// What to do with the machine above the log, and when.
-pub(super) type News<M> = Box<dyn FnOnce(&mut M, Timestamp) + Send>;
+/// A change to the state machine outside the log; gets the current monotonic time.
+pub(super) type MachineUpdate<M> = Box<dyn FnOnce(&mut M, Timestamp) + Send>;
 
-/// News for the machine above the log.
-pub(super) struct Inform<M>(pub(super) News<M>);
+/// Runs a change to the state machine that does not go through the log.
+pub(super) struct UpdateMachine<M>(pub(super) MachineUpdate<M>);
 
-/// A look at this replica's own state.
-pub(super) struct Local<M>(pub(super) Box<dyn FnOnce(&M) + Send>);
+/// Reads this replica's own state without confirmed leadership.
+pub(super) struct ReadLocal<M>(pub(super) Box<dyn FnOnce(&M) + Send>);
 
-/// A message of another replica.
+/// A message from another replica.
 pub(super) struct FromPeer(pub(super) Message);
 
-/// Time has passed.
+/// Runs the core's timers.
 pub(super) struct Tick;
 
-/// Leadership should move to another replica.
+/// Transfers leadership to another voter.
 pub(super) struct TransferLeadership;
 
-/// The replica should end.
+/// Ends the replica.
 pub(super) struct Stop;
 
-/// News of the disk.
-pub(super) enum DiskNews {
+/// An event from the disk thread.
+pub(super) enum DiskEvent {
     /// Saves up to this number are synced.
     Synced(u64),
-    /// There is no room; the saves are tried again.
+    /// The disk is full; the disk thread retries the saves.
     Full,
-    /// The disk cannot be trusted any more.
+    /// Writing or syncing failed, so what the disk holds is uncertain.
     Failed(Error),
 }
--- a/src/replication/runtime/mod.rs
+++ b/src/replication/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! The runtime of one replica: the core and the state machine on one control thread, the disk on
-//! another, connections to other replicas on a third, with bounded channels between.
+//! Runtime of one replica: one thread for the consensus core and the state machine, one for the
+//! disk and one for connections to other replicas, connected by bounded channels.
 
 mod config;
 mod control;
@@ -18,14 +18,14 @@
 pub use config::{Formation, ReplicaConfig};
 pub use handle::{Replica, ReplicaHandle};
 
-/// Monotonic time at which a process starts. Not zero, so that zero always lies long ago.
+/// Monotonic time at the first reading in a process. Not zero, so that zero is always in the past.
 const START_TIME: Duration = Duration::from_secs(3600);
 
-/// This process's monotonic time. Every `now` that a replica hands out is on this scale.
+/// Monotonic time of this process. Every `now` that a replica passes on is on this scale.
 ///
-/// It counts the time for which the machine was suspended. A leader that wakes from a suspension
-/// would otherwise still believe in the lease it held before, and answer reads from an old state
-/// while another one leads.
+/// It includes time for which the host was suspended. Otherwise a leader that resumes after a
+/// suspension would still treat its leader lease as valid, and answer reads from an old state while
+/// another replica leads.
 pub fn monotonic_now() -> Timestamp {
     static START: OnceLock<Timestamp> = OnceLock::new();
     let now = since_boot();
@@ -40,7 +40,7 @@
     )
 }
 
-/// The time of day as this machine tells it.
+/// Unix time of this host's clock; may jump, and is zero if the clock is before 1970.
 pub fn unix_now() -> Timestamp {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/replication/runtime/peers.rs
+++ b/src/replication/runtime/peers.rs
@@ -1,5 +1,5 @@
-//! Connections to the other replicas: one outgoing link each for sending, and accepted ones for
-//! receiving.
+//! Connections between replicas: an outgoing link to each peer for sending, and accepted connections
+//! for receiving.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,33 +24,34 @@
 use crate::task::AbortOnDrop;
 use crate::wire::{self, CellKeys, FrameReader, FrameWriter};
 
-/// Messages that may wait for one peer; more are dropped, as a network would.
+/// Most messages queued for one peer; further ones are dropped, and the core sends again what is
+/// still needed.
 const LINK_QUEUE: usize = 256;
-/// Messages that may wait for the peer thread.
+/// Most messages queued for the peer thread; further ones are dropped.
 const QUEUE: usize = 4096;
-/// Time for a new connection to prove itself.
+/// Time limit for the handshake on a new connection.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Silence after which the system asks whether an accepted connection still stands.
+/// Idle time after which TCP keep-alive probes an accepted connection.
 const KEEPALIVE: Duration = Duration::from_secs(10);
 
-/// Who this replica is to others.
+/// Id and address that this replica sends to its peers.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(super) struct Identity {
     pub(super) id: ReplicaId,
     pub(super) addr: SocketAddr,
 }
 
-/// What flows over an outgoing link.
+/// A frame sent over an outgoing link.
 #[derive(Serialize, Deserialize)]
-enum Forward {
+enum LinkFrame {
     Hello(Identity),
     Message(Message),
     Ping(u64),
 }
 
-/// What flows back over it.
+/// A frame received over an outgoing link.
 #[derive(Serialize, Deserialize)]
-enum Back {
+enum LinkReply {
     Pong(u64),
 }
 
@@ -59,29 +60,29 @@
     ToAll(Message, Vec<SocketAddr>),
 }
 
-/// Sending end towards the peer thread. Never waits: what does not fit is dropped.
+/// Sender to the peer thread. Never waits: a message that does not fit is dropped.
 pub(super) struct PeerQueue(mpsc::Sender<Outgoing>);
 
 impl PeerQueue {
     pub(super) fn send(&self, addr: Option<SocketAddr>, message: Message) {
-        self.put(Outgoing::To(addr, message));
+        self.enqueue(Outgoing::To(addr, message));
     }
 
-    /// Sends to every configured address and to further ones that the log names: the configured
-    /// ones may all be down while the group goes on elsewhere.
-    pub(super) fn announce(&self, message: Message, further: Vec<SocketAddr>) {
-        self.put(Outgoing::ToAll(message, further));
+    /// Sends to every configured address and to `extra` ones, the members in the log: all configured
+    /// replicas may be down while the group runs on others.
+    pub(super) fn announce(&self, message: Message, extra: Vec<SocketAddr>) {
+        self.enqueue(Outgoing::ToAll(message, extra));
     }
 
-    fn put(&self, outgoing: Outgoing) {
+    fn enqueue(&self, outgoing: Outgoing) {
         if self.0.try_send(outgoing).is_err() {
             metrics::counter!("yuccahold_replica_messages_dropped_total").increment(1);
         }
     }
 }
 
-/// Addresses that replicas gave for themselves. A voter may have to answer a candidate that its
-/// own log does not name yet; without the address the group could not elect it.
+/// Addresses that peers sent in their hello. A voter may have to reply to a candidate that is not
+/// in its own log yet; without the address, that candidate could not be elected.
 type Directory = Arc<Mutex<HashMap<ReplicaId, SocketAddr>>>;
 
 struct Peers {
@@ -90,8 +91,8 @@
     configured: Vec<SocketAddr>,
     directory: Directory,
     links: HashMap<SocketAddr, mpsc::Sender<Message>>,
-    /// Time after which an unanswered ping condemns a connection.
-    patience: Duration,
+    /// Time without a pong after which a connection is closed.
+    reply_timeout: Duration,
 }
 
 /// Starts the peer thread; it ends when the queue is dropped.
@@ -115,7 +116,7 @@
         configured: cfg.peers.clone(),
         directory: directory.clone(),
         links: HashMap::new(),
-        patience: cfg.election_timeout,
+        reply_timeout: cfg.election_timeout,
     };
     let keys = cfg.keys.clone();
     let body = move || {
@@ -142,35 +143,35 @@
         while let Some(outgoing) = rx.recv().await {
             match outgoing {
                 Outgoing::To(addr, message) => {
-                    let learned = self.directory.lock().expect("no holder panics");
-                    let addr = addr.or_else(|| learned.get(&message.to).copied());
-                    drop(learned);
+                    let directory = self.directory.lock().expect("no holder panics");
+                    let addr = addr.or_else(|| directory.get(&message.to).copied());
+                    drop(directory);
                     if let Some(addr) = addr {
-                        self.put(addr, message);
+                        self.enqueue(addr, message);
                     }
                 }
-                Outgoing::ToAll(message, further) => {
-                    let mut addrs = further;
+                Outgoing::ToAll(message, extra) => {
+                    let mut addrs = extra;
                     addrs.extend(&self.configured);
                     addrs.sort_unstable();
                     addrs.dedup();
                     addrs.retain(|addr| *addr != self.identity.addr);
                     for addr in addrs {
-                        self.put(addr, message.clone());
+                        self.enqueue(addr, message.clone());
                     }
                 }
             }
         }
     }
 
-    fn put(&mut self, addr: SocketAddr, message: Message) {
+    fn enqueue(&mut self, addr: SocketAddr, message: Message) {
         let link = self.links.entry(addr).or_insert_with(|| {
             let (tx, rx) = mpsc::channel(LINK_QUEUE);
             let link = Link {
                 addr,
                 identity: self.identity,
                 keys: self.keys.clone(),
-                patience: self.patience,
+                reply_timeout: self.reply_timeout,
             };
             tokio::spawn(link.run(rx));
             tx
@@ -181,43 +182,47 @@
     }
 }
 
-/// One outgoing link; connects again whenever the connection fails or falls silent.
+/// An outgoing link to one peer; reconnects whenever the connection fails or a pong is missing.
 struct Link {
     addr: SocketAddr,
     identity: Identity,
     keys: CellKeys,
-    patience: Duration,
+    reply_timeout: Duration,
 }
 
 impl Link {
     async fn run(self, mut rx: mpsc::Receiver<Message>) {
         while let Some(message) = rx.recv().await {
-            let connected = timeout(HANDSHAKE_TIMEOUT.min(self.patience * 2), self.connect()).await;
+            let connected = timeout(
+                HANDSHAKE_TIMEOUT.min(self.reply_timeout * 2),
+                self.connect(),
+            )
+            .await;
             match connected {
                 Ok(Ok((reader, writer))) => {
-                    let _ = self.drive(reader, writer, message, &mut rx).await;
+                    let _ = self.run_connection(reader, writer, message, &mut rx).await;
                 }
                 Ok(Err(_)) | Err(_) => {
-                    // What waited meanwhile is old; the core repeats what still matters.
+                    // The queued messages are stale; the core sends again what is still needed.
                     while rx.try_recv().is_ok() {}
-                    tokio::time::sleep(self.patience / 8).await;
+                    tokio::time::sleep(self.reply_timeout / 8).await;
                 }
             }
         }
     }
 
     async fn connect(&self) -> Result<(FrameReader, FrameWriter)> {
-        let stream = wire::dial(self.addr, self.patience * 2).await?;
+        let stream = wire::dial(self.addr, self.reply_timeout * 2).await?;
         let (reader, mut writer) = wire::split_client(stream, &self.keys).await?;
-        writer.write(&Forward::Hello(self.identity)).await?;
+        writer.write(&LinkFrame::Hello(self.identity)).await?;
         Ok((reader, writer))
     }
 
-    /// Sends until the connection fails or a ping stays unanswered.
+    /// Sends messages until the connection fails or a ping is not answered in time.
     ///
-    /// A connection can go silent for good while new ones work. The sender would see nothing and
-    /// the peer would look dead, so an answer is asked for over the same connection.
-    async fn drive(
+    /// An established connection can stop passing data while new ones work. The sender would get no
+    /// error and the peer would seem dead, so pings check the connection itself.
+    async fn run_connection(
         &self,
         mut reader: FrameReader,
         mut writer: FrameWriter,
@@ -226,7 +231,7 @@
     ) -> Result<()> {
         let (pong_tx, mut pongs) = mpsc::channel(4);
         let reading = tokio::spawn(async move {
-            while let Ok(Some(Back::Pong(number))) = reader.read().await {
+            while let Ok(Some(LinkReply::Pong(number))) = reader.read().await {
                 if pong_tx.send(number).await.is_err() {
                     break;
                 }
@@ -239,21 +244,21 @@
         let mut answered_at = Instant::now();
         loop {
             if let Some(message) = next.take() {
-                writer.queue(&Forward::Message(message))?;
+                writer.queue(&LinkFrame::Message(message))?;
                 while let Ok(message) = rx.try_recv() {
-                    writer.queue(&Forward::Message(message))?;
+                    writer.queue(&LinkFrame::Message(message))?;
                 }
-                if pinged_at.is_none() && answered_at.elapsed() > self.patience / 2 {
+                if pinged_at.is_none() && answered_at.elapsed() > self.reply_timeout / 2 {
                     ping += 1;
                     pinged_at = Some(Instant::now());
-                    writer.queue(&Forward::Ping(ping))?;
+                    writer.queue(&LinkFrame::Ping(ping))?;
                 }
-                match timeout(self.patience, writer.flush()).await {
+                match timeout(self.reply_timeout, writer.flush()).await {
                     Ok(done) => done?,
-                    Err(_) => return Err(self.silent()),
+                    Err(_) => return Err(self.timed_out()),
                 }
             }
-            let deadline = pinged_at.map(|at| at + self.patience);
+            let deadline = pinged_at.map(|at| at + self.reply_timeout);
             let expired = async {
                 match deadline {
                     Some(at) => tokio::time::sleep_until(at).await,
@@ -271,14 +276,14 @@
                         answered_at = Instant::now();
                     }
                     Some(_) => {}
-                    None => return Err(self.silent()),
+                    None => return Err(self.timed_out()),
                 },
-                () = expired => return Err(self.silent()),
+                () = expired => return Err(self.timed_out()),
             }
         }
     }
 
-    fn silent(&self) -> Error {
+    fn timed_out(&self) -> Error {
         Error::new(Step::Transfer, "the connection fell silent").with_peer(self.addr)
     }
 }
@@ -291,7 +296,7 @@
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of descriptors, most likely; some will come free.
+            // Most likely out of file descriptors; waits until some are released.
             tokio::time::sleep(HANDSHAKE_TIMEOUT / 20).await;
             continue;
         };
@@ -319,17 +324,17 @@
 ) -> Result<()> {
     while let Some(frame) = reader.read().await? {
         match frame {
-            Forward::Hello(peer) => {
+            LinkFrame::Hello(peer) => {
                 let mut directory = directory.lock().expect("no holder panics");
                 directory.insert(peer.id, peer.addr);
             }
-            Forward::Message(message) => {
+            LinkFrame::Message(message) => {
                 let sent = control.send(FromPeer(message)).detach().await;
                 if sent.is_err() {
                     return Ok(());
                 }
             }
-            Forward::Ping(number) => writer.write(&Back::Pong(number)).await?,
+            LinkFrame::Ping(number) => writer.write(&LinkReply::Pong(number)).await?,
         }
     }
     Ok(())
