--- a/benches/replication.rs
+++ b/benches/replication.rs
@@ -1,8 +1,8 @@
-//! Throughput and latency of the replicated log on loopback with real syncs, recovery time
-//! against log size, and the time without a leader after one is lost.
+//! Benchmarks of the replicated log on loopback with real syncs: throughput and latency, recovery
+//! time by log size, and the time without a leader after one is lost.
 //!
-//! All replicas share this machine's one disk, so groups of three and five sync three and five
-//! times as much on it as on hosts of their own.
+//! All replicas share one disk, so a group of three or five syncs three or five times as much to it
+//! as on separate hosts.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -18,11 +18,12 @@
 use yuccahold::wire::{CellKey, CellKeys};
 
 const COMMAND_LEN: usize = 128;
+/// Duration of each measurement.
 const RUN: Duration = Duration::from_secs(3);
 const CALLERS: [usize; 3] = [1, 64, 1024];
 const KILLS: usize = 24;
 
-/// Counts commands; keeps nothing.
+/// State machine that only counts commands.
 #[derive(Default)]
 struct Counter(u64);
 
@@ -120,8 +121,9 @@
     }
 }
 
-/// Latencies in microseconds up to a minute. A histogram without bounds does not grow when it
-/// records saturating: everything above its first range would count as the top of that.
+/// Histogram of latencies in microseconds, up to a minute. The bounds are needed because
+/// `saturating_record` does not grow an auto-resizing histogram: it would record every latency above
+/// the initial range as the maximum of that range.
 fn latencies() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("three digits")
 }
@@ -136,7 +138,7 @@
     );
 }
 
-/// The baseline: the same files, one sync for each entry.
+/// Baseline: writes to the same kind of store, with one sync for each entry.
 fn sync_each_entry() {
     let path = folder("baseline");
     let (mut store, _) = Store::open(&path).expect("a new store");
@@ -150,7 +152,7 @@
         latency.saturating_record(one.elapsed().as_micros() as u64);
     }
     print_row(
-        "baseline: one sync an entry",
+        "baseline: one sync per entry",
         index,
         start.elapsed(),
         &latency,
@@ -222,7 +224,7 @@
     let _ = std::fs::remove_dir_all(folder("recovery"));
 }
 
-/// Ends the leader without a word, again and again, and times how long no write is confirmed.
+/// Repeatedly ends the leader without a transfer, and measures the time until a write succeeds.
 async fn time_without_leader() {
     let mut group = Group::form(3).await;
     let mut gaps = Vec::new();
--- a/src/replication/explore/world/damage.rs
+++ b/src/replication/explore/world/damage.rs
@@ -53,15 +53,15 @@
                 self.schedule(time, Event::Wake(host));
             }
             Fault::CutOneWay { from, to } => {
-                self.cuts.insert((from, to));
+                self.blocked_links.insert((from, to));
             }
             Fault::Isolate { host } => {
                 for other in 0..self.hosts.len() {
-                    self.cuts.insert((host, other));
-                    self.cuts.insert((other, host));
+                    self.blocked_links.insert((host, other));
+                    self.blocked_links.insert((other, host));
                 }
             }
-            Fault::Heal => self.cuts.clear(),
+            Fault::Heal => self.blocked_links.clear(),
             Fault::Wipe { host } => {
                 if self.keeps_majorities(Some(host)) {
                     self.wipe(host);
@@ -79,8 +79,8 @@
                 let leader = self.pick_host(1.0);
                 let host = (leader + offset) % hosts;
                 let cut_off = (leader + offset % (hosts - 1) + 1) % hosts;
-                self.cuts.insert((leader, cut_off));
-                self.cuts.insert((cut_off, leader));
+                self.blocked_links.insert((leader, cut_off));
+                self.blocked_links.insert((cut_off, leader));
                 for n in 0..RESTARTS {
                     let crash = Event::Crash(host, Duration::from_millis(1));
                     self.schedule(RESTART_INTERVAL * n, crash);
--- a/src/replication/explore/world/effects.rs
+++ b/src/replication/explore/world/effects.rs
@@ -192,7 +192,7 @@
     }
 
     pub(super) fn transmit(&mut self, from: usize, to: usize, message: Message) {
-        if self.cuts.contains(&(from, to)) {
+        if self.blocked_links.contains(&(from, to)) {
             return;
         }
         let copies = 1 + u32::from(self.rng.random_bool(self.repeat));
--- a/src/replication/explore/world/ending.rs
+++ b/src/replication/explore/world/ending.rs
@@ -13,7 +13,7 @@
     pub(super) fn end_faults(&mut self) -> Result<(), CheckFailure> {
         self.faults_ended = true;
         self.profile = FaultProfile::without_faults();
-        self.cuts.clear();
+        self.blocked_links.clear();
         (self.loss, self.repeat) = (0.0, 0.0);
         for host in 0..self.hosts.len() {
             self.hosts[host].longest_sync = Duration::from_millis(2);
--- a/src/replication/explore/world/mod.rs
+++ b/src/replication/explore/world/mod.rs
@@ -66,7 +66,8 @@
     template: CoreConfig,
     /// Host of each replica id, including the former ids of wiped disks.
     hosts_by_id: BTreeMap<ReplicaId, usize>,
-    cuts: BTreeSet<(usize, usize)>,
+    /// Pairs (from, to) of hosts between which messages are dropped.
+    blocked_links: BTreeSet<(usize, usize)>,
     profile: FaultProfile,
     crash_leaders_until: Timestamp,
     loss: f64,
@@ -123,7 +124,7 @@
             zones,
             template,
             hosts_by_id: BTreeMap::new(),
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             profile,
             crash_leaders_until: Timestamp::ZERO,
             loss: 0.0,
--- a/src/storage/files.rs
+++ b/src/storage/files.rs
@@ -1,18 +1,18 @@
-//! The two file operations that can fail halfway, apart so that tests can make them fail.
+//! The file operations on the log, behind a trait so that tests can inject failures.
 
 use std::fs::File;
 use std::io::{self, Write};
 
-/// How bytes reach a log file and its disk.
+/// Operations on the log file that can fail halfway.
 pub trait Files: Send + 'static {
-    /// Appends all of `buf`.
+    /// Appends all of `buf`; after an error, part of it may have been written.
     fn append(&mut self, file: &mut File, buf: &[u8]) -> io::Result<()>;
 
-    /// Returns once everything appended is on the disk.
+    /// Returns once all appended data is on disk.
     fn sync(&mut self, file: &File) -> io::Result<()>;
 }
 
-/// The operating system's files.
+/// File operations of the operating system.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RealFiles;
 
--- a/src/storage/folder.rs
+++ b/src/storage/folder.rs
@@ -1,4 +1,4 @@
-//! Names in the data folder, and whole files that appear at once or not at all.
+//! The data folder: its lock, its file names, and atomic writes of whole files.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io::{self, Write};
@@ -9,9 +9,9 @@
 
 const SEGMENT: (&str, &str) = ("log-", ".seg");
 const SNAPSHOT: (&str, &str) = ("snapshot-", ".snap");
-const UNFINISHED: &str = "tmp";
+const TEMP_EXTENSION: &str = "tmp";
 
-/// The folder, locked against a second process.
+/// The data folder, locked against a second process.
 pub(super) struct Folder {
     path: PathBuf,
     _lock: File,
@@ -19,21 +19,21 @@
 
 impl Folder {
     pub(super) fn open(path: &Path) -> Result<Self> {
-        fs::create_dir_all(path).map_err(|e| failed("making the data folder", path, e))?;
+        fs::create_dir_all(path).map_err(|e| io_error("creating the data folder", path, e))?;
         let lock_path = path.join("lock");
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
             .open(&lock_path)
-            .map_err(|e| failed("opening the lock file", &lock_path, e))?;
+            .map_err(|e| io_error("opening the lock file", &lock_path, e))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
                 let message = "another process uses this data folder";
                 return Err(Error::new(Step::Storage, message).with_peer(path.display()));
             }
-            Err(TryLockError::Error(e)) => return Err(failed("locking", &lock_path, e)),
+            Err(TryLockError::Error(e)) => return Err(io_error("locking", &lock_path, e)),
         }
         Ok(Self {
             path: path.to_owned(),
@@ -67,10 +67,10 @@
 
     /// Numbers of the files of one kind, in order.
     fn numbers(&self, (prefix, suffix): (&str, &str)) -> Result<Vec<u64>> {
-        let listing = fs::read_dir(&self.path).map_err(|e| failed("listing", &self.path, e))?;
+        let listing = fs::read_dir(&self.path).map_err(|e| io_error("listing", &self.path, e))?;
         let mut numbers = Vec::new();
         for file in listing {
-            let file = file.map_err(|e| failed("listing", &self.path, e))?;
+            let file = file.map_err(|e| io_error("listing", &self.path, e))?;
             let name = file.file_name();
             let number: Option<u64> = name
                 .to_str()
@@ -81,29 +81,30 @@
         Ok(numbers)
     }
 
-    /// Writes a file under another name, syncs it, and only then gives it its own.
-    pub(super) fn write_whole(&self, path: &Path, content: &[u8]) -> io::Result<()> {
-        let unfinished = path.with_extension(UNFINISHED);
-        let mut file = private().create(true).truncate(true).open(&unfinished)?;
+    /// Writes a file under a temporary name, syncs it, then renames it, so that a crash never
+    /// leaves a partial file under its final name.
+    pub(super) fn write_atomically(&self, path: &Path, content: &[u8]) -> io::Result<()> {
+        let temp = path.with_extension(TEMP_EXTENSION);
+        let mut file = private_options().create(true).truncate(true).open(&temp)?;
         file.write_all(content)?;
         file.sync_all()?;
-        fs::rename(&unfinished, path)?;
+        fs::rename(&temp, path)?;
         self.sync()
     }
 
-    /// Makes names given and taken durable.
+    /// Syncs the folder itself, which makes renames durable.
     pub(super) fn sync(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 }
 
-/// Opens files for writing that their owner alone may read: documents hold callers' keys.
-fn private() -> OpenOptions {
+/// Options to write files that only their owner may read, as documents contain callers' keys.
+fn private_options() -> OpenOptions {
     let mut options = OpenOptions::new();
     options.write(true).mode(0o600);
     options
 }
 
-pub(super) fn failed(what: &str, path: &Path, e: io::Error) -> Error {
+pub(super) fn io_error(what: &str, path: &Path, e: io::Error) -> Error {
     Error::caused(Step::Storage, what, e).with_peer(path.display())
 }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,5 +1,5 @@
-//! The files of one replica: its identity, checksummed log segments and snapshots, all under one
-//! data folder. A write counts only once it is synced.
+//! Files of one replica: its identity, checksummed log segments and snapshots, all in one data
+//! folder. Data is durable only once it is synced.
 
 mod files;
 mod folder;
@@ -9,5 +9,6 @@
 pub use files::{Files, RealFiles};
 pub use store::{Opened, Store, WriteError};
 
-/// Version of the format of every file; another one is refused by number.
+/// Format version in the header of every file. A file of another version is refused, with an error
+/// that names the version.
 pub const FORMAT_VERSION: u16 = 1;
--- a/src/storage/store.rs
+++ b/src/storage/store.rs
@@ -1,14 +1,14 @@
-//! Opening a replica's files and writing to them.
+//! Opens a replica's files, recovers its state and writes to the log.
 
 use std::fs::{self, File, OpenOptions};
 use std::io;
 use std::path::Path;
 
 use super::files::{Files, RealFiles};
-use super::folder::{Folder, failed};
+use super::folder::{Folder, io_error};
 use super::format::{
-    FileKind, Identity, Record, SegmentHead, batch_len, damaged, decode_batch, decode_file, encode,
-    encode_batch, encode_file, has_later_batch,
+    FileKind, Identity, Record, SegmentHeader, batch_len, corrupt, decode_batch, decode_file,
+    encode, encode_batch, encode_file, has_later_batch,
 };
 use crate::error::{Error, Result, Step};
 use crate::ids::ReplicaId;
@@ -19,64 +19,67 @@
     folder: Folder,
     files: F,
     segment: File,
+    /// Number of the current segment.
     number: u64,
+    /// Synced length of the current segment in bytes.
     len: u64,
+    /// Sequence number of the last batch.
     batch_seq: u64,
 }
 
-/// What opening found.
+/// State found when the folder was opened.
 #[derive(Debug)]
 pub struct Opened {
-    /// The replica this folder belongs to.
+    /// Id of the replica whose files are in the folder.
     pub id: ReplicaId,
-    /// Whether the folder was empty, so that the replica is new.
+    /// The folder was empty, so a new replica was created in it.
     pub fresh: bool,
-    /// Its state.
+    /// Persistent state from the snapshot and the log.
     pub recovered: Recovered,
-    /// Bytes of an unfinished write cut off the end of the log.
+    /// Bytes of an incomplete write that were removed from the end of the log.
     pub torn_bytes: u64,
 }
 
-/// Why a write did not happen.
+/// Why a write failed.
 #[derive(Debug)]
 pub enum WriteError {
-    /// The disk is full. Nothing of the batch stays; it may be tried again.
+    /// The disk is full. Nothing of the batch remains in the log; it may be retried.
     Full,
-    /// The disk cannot be trusted any more: the process must end.
+    /// It is unknown what the disk holds, so the process must end.
     Failed(Error),
 }
 
 impl Store<RealFiles> {
-    /// Opens the folder, making a new replica in an empty one.
+    /// Opens the folder; in an empty folder, creates a new replica.
     pub fn open(path: &Path) -> Result<(Self, Opened)> {
         Self::open_with(path, RealFiles)
     }
 }
 
 impl<F: Files> Store<F> {
-    /// Opens the folder with the given file operations.
+    /// Like `open`, with the given file operations.
     pub fn open_with(path: &Path, files: F) -> Result<(Self, Opened)> {
         let folder = Folder::open(path)?;
         let identity_path = folder.identity();
         let fresh = !identity_path.exists();
         if fresh {
-            make_identity(&folder)?;
+            create_identity(&folder)?;
         }
         let buf = read(&identity_path)?;
         let (identity, _) = decode_file::<Identity>(FileKind::Identity, &identity_path, &buf)?;
         let snapshot = newest_snapshot(&folder)?;
         let log = read_segment(&folder)?;
-        let (base, entries) = join(&folder, &snapshot, &log)?;
+        let (base, entries) = merge_snapshot_and_log(&folder, &snapshot, &log)?;
         let segment_path = folder.segment(log.number);
         let segment = OpenOptions::new()
             .append(true)
             .open(&segment_path)
-            .map_err(|e| failed("opening", &segment_path, e))?;
+            .map_err(|e| io_error("opening", &segment_path, e))?;
         if log.torn_bytes > 0 {
             segment
                 .set_len(log.len)
                 .and_then(|()| segment.sync_all())
-                .map_err(|e| failed("cutting a torn write off", &segment_path, e))?;
+                .map_err(|e| io_error("truncating a torn write", &segment_path, e))?;
         }
         let opened = Opened {
             id: identity.id,
@@ -101,12 +104,12 @@
         Ok((store, opened))
     }
 
-    /// Writes the saves in order with one sync for all.
+    /// Writes the saves in order, with one sync for all.
     pub fn write(&mut self, saves: &[Save]) -> Result<(), WriteError> {
         let mut records = Vec::new();
         for save in saves {
             if let Some(snapshot) = &save.snapshot {
-                // The new segment holds everything the records before it said.
+                // The new segment includes the state of the records before it.
                 records.clear();
                 self.rotate(snapshot)?;
             }
@@ -129,13 +132,14 @@
             if !is_full(&e) {
                 return Err(self.fatal("writing the log", e));
             }
-            // The next batch must not follow half of this one.
-            let cut = self.segment.set_len(self.len);
-            cut.map_err(|e| self.fatal("cutting an unfinished write off", e))?;
+            // The next batch must not follow a part of this one.
+            let truncated = self.segment.set_len(self.len);
+            truncated.map_err(|e| self.fatal("truncating an incomplete write", e))?;
             return Err(WriteError::Full);
         }
-        // After a failed sync the page cache may claim to hold what the disk does not, and a
-        // second sync may succeed without writing it. Only a restart reads the truth.
+        // After a failed sync, the page cache may hold data that is not on disk, and a second sync
+        // may succeed without writing it. The error is fatal: only after a restart does the process
+        // know what the disk holds.
         self.files
             .sync(&self.segment)
             .map_err(|e| self.fatal("syncing the log", e))?;
@@ -144,12 +148,12 @@
         Ok(())
     }
 
-    /// Writes a snapshot and begins a new segment with what stays of the log.
+    /// Writes a snapshot and starts a new segment with the entries that remain in the log.
     fn rotate(&mut self, save: &SaveSnapshot) -> Result<(), WriteError> {
         let snapshot_path = self.folder.snapshot(save.snapshot.index);
         let content = encode_file(FileKind::Snapshot, &*save.snapshot);
-        self.write_whole(&snapshot_path, &content)?;
-        let head = SegmentHead {
+        self.write_atomically(&snapshot_path, &content)?;
+        let header = SegmentHeader {
             number: self.number + 1,
             base: save.base,
         };
@@ -157,28 +161,28 @@
         for entry in &save.kept {
             records.extend(encode(&Record::Entry(entry.clone())));
         }
-        let mut content = encode_file(FileKind::Segment, &head);
+        let mut content = encode_file(FileKind::Segment, &header);
         content.extend(encode_batch(self.batch_seq + 1, &records));
-        let path = self.folder.segment(head.number);
-        self.write_whole(&path, &content)?;
+        let path = self.folder.segment(header.number);
+        self.write_atomically(&path, &content)?;
         self.segment = OpenOptions::new()
             .append(true)
             .open(&path)
             .map_err(|e| self.fatal("opening the new segment", e))?;
-        self.number = head.number;
+        self.number = header.number;
         self.len = content.len() as u64;
         self.batch_seq += 1;
         self.remove_superseded(save.snapshot.index)
             .map_err(WriteError::Failed)
     }
 
-    fn write_whole(&self, path: &Path, content: &[u8]) -> Result<(), WriteError> {
-        self.folder.write_whole(path, content).map_err(|e| {
+    fn write_atomically(&self, path: &Path, content: &[u8]) -> Result<(), WriteError> {
+        self.folder.write_atomically(path, content).map_err(|e| {
             if is_full(&e) {
                 let _ = fs::remove_file(path.with_extension("tmp"));
                 WriteError::Full
             } else {
-                WriteError::Failed(failed("writing", path, e))
+                WriteError::Failed(io_error("writing", path, e))
             }
         })
     }
@@ -192,13 +196,13 @@
             .map(|n| self.folder.segment(n))
             .chain(old_snapshots.map(|n| self.folder.snapshot(n)));
         for path in old {
-            fs::remove_file(&path).map_err(|e| failed("removing", &path, e))?;
+            fs::remove_file(&path).map_err(|e| io_error("removing", &path, e))?;
         }
         Ok(())
     }
 
     fn fatal(&self, what: &str, e: io::Error) -> WriteError {
-        WriteError::Failed(failed(what, &self.folder.segment(self.number), e))
+        WriteError::Failed(io_error(what, &self.folder.segment(self.number), e))
     }
 }
 
@@ -210,33 +214,38 @@
 }
 
 fn read(path: &Path) -> Result<Vec<u8>> {
-    fs::read(path).map_err(|e| failed("reading", path, e))
+    fs::read(path).map_err(|e| io_error("reading", path, e))
 }
 
-/// Makes a new replica. The identity comes last: without it the folder holds no replica yet.
-fn make_identity(folder: &Folder) -> Result<()> {
+/// Creates a new replica. The identity is written last: a folder without it holds no replica, so a
+/// crash before leaves a folder in which a replica can be created again.
+fn create_identity(folder: &Folder) -> Result<()> {
     let first = folder.segment(1);
     let segments = folder.segments()?;
-    let empty_log = || fs::metadata(&first).is_ok_and(|m| m.len() <= segment_start().len() as u64);
+    let empty_log =
+        || fs::metadata(&first).is_ok_and(|m| m.len() <= first_segment_header().len() as u64);
     if !(segments.is_empty() || segments == [1] && empty_log()) {
-        return Err(damaged(&folder.identity(), "it is missing beside a log"));
+        return Err(corrupt(
+            &folder.identity(),
+            "it is missing although a log exists",
+        ));
     }
     let write = |path: &Path, content: &[u8]| {
-        let written = folder.write_whole(path, content);
-        written.map_err(|e| failed("writing", path, e))
+        let written = folder.write_atomically(path, content);
+        written.map_err(|e| io_error("writing", path, e))
     };
-    write(&first, &segment_start())?;
+    write(&first, &first_segment_header())?;
     let id = rand::random::<u64>().max(1);
     let identity = encode_file(FileKind::Identity, &Identity { id });
     write(&folder.identity(), &identity)
 }
 
-fn segment_start() -> Vec<u8> {
-    let head = SegmentHead {
+fn first_segment_header() -> Vec<u8> {
+    let header = SegmentHeader {
         number: 1,
         base: (0, 0),
     };
-    encode_file(FileKind::Segment, &head)
+    encode_file(FileKind::Segment, &header)
 }
 
 fn newest_snapshot(folder: &Folder) -> Result<Snapshot> {
@@ -248,7 +257,7 @@
     decode_file(FileKind::Snapshot, &path, &buf).map(|(snapshot, _)| snapshot)
 }
 
-/// What a segment holds.
+/// Content of a log segment.
 struct Segment {
     number: u64,
     base: (u64, u64),
@@ -261,14 +270,14 @@
 
 fn read_segment(folder: &Folder) -> Result<Segment> {
     let Some(number) = folder.segments()?.pop() else {
-        return Err(damaged(&folder.segment(1), "it is missing"));
+        return Err(corrupt(&folder.segment(1), "it is missing"));
     };
     let path = folder.segment(number);
     let buf = read(&path)?;
-    let (head, start) = decode_file::<SegmentHead>(FileKind::Segment, &path, &buf)?;
+    let (header, start) = decode_file::<SegmentHeader>(FileKind::Segment, &path, &buf)?;
     let mut segment = Segment {
         number,
-        base: head.base,
+        base: header.base,
         hard: HardState::default(),
         entries: Vec::new(),
         len: start as u64,
@@ -278,19 +287,19 @@
     let mut rest = &buf[start..];
     while let Some((seq, records)) = decode_batch(rest) {
         if segment.batch_seq != 0 && seq != segment.batch_seq + 1 {
-            return Err(damaged(&path, "a batch is missing"));
+            return Err(corrupt(&path, "a batch is missing"));
         }
         segment.replay(&path, records)?;
         segment.batch_seq = seq;
         segment.len += batch_len(records) as u64;
         rest = &rest[batch_len(records)..];
     }
-    // Each batch is synced before the next is written. What does not read as a batch is an
-    // unfinished write only if nothing whole follows it; otherwise the disk has lost a batch
-    // that was acknowledged, and voting on would break promises.
+    // Each batch is synced before the next is written. Bytes that are not a valid batch are thus an
+    // incomplete write only if no complete batch follows. Otherwise the disk has lost a batch that
+    // was acknowledged, and the replica could break a vote or an acknowledgement it has given.
     if has_later_batch(rest, segment.batch_seq) {
         let how = format!("the batch at byte {} is unreadable", segment.len);
-        return Err(damaged(&path, &how));
+        return Err(corrupt(&path, &how));
     }
     segment.torn_bytes = rest.len() as u64;
     Ok(segment)
@@ -300,17 +309,17 @@
     fn replay(&mut self, path: &Path, mut records: &[u8]) -> Result<()> {
         while !records.is_empty() {
             let (record, rest) = postcard::take_from_bytes::<Record>(records)
-                .map_err(|_| damaged(path, "a record cannot be decoded"))?;
+                .map_err(|_| corrupt(path, "a record cannot be decoded"))?;
             records = rest;
             match record {
                 Record::Hard(hard) => self.hard = hard,
-                Record::Entry(entry) => self.place(path, entry)?,
+                Record::Entry(entry) => self.insert_entry(path, entry)?,
             }
         }
         Ok(())
     }
 
-    fn place(&mut self, path: &Path, entry: Entry) -> Result<()> {
+    fn insert_entry(&mut self, path: &Path, entry: Entry) -> Result<()> {
         let position = entry.index.checked_sub(self.base.0 + 1);
         match position {
             Some(at) if at <= self.entries.len() as u64 => {
@@ -318,20 +327,28 @@
                 self.entries.push(entry);
                 Ok(())
             }
-            _ => Err(damaged(
+            _ => Err(corrupt(
                 path,
-                &format!("entry {} is out of place", entry.index),
+                &format!(
+                    "entry {} does not follow the entries before it",
+                    entry.index
+                ),
             )),
         }
     }
 }
 
-/// Joins the snapshot with the log; the log is dropped where a newer snapshot replaced it.
-fn join(folder: &Folder, snapshot: &Snapshot, log: &Segment) -> Result<((u64, u64), Vec<Entry>)> {
+/// Base and entries of the log after the snapshot; no entries if the log does not match the
+/// snapshot, because a leader's snapshot has replaced it.
+fn merge_snapshot_and_log(
+    folder: &Folder,
+    snapshot: &Snapshot,
+    log: &Segment,
+) -> Result<((u64, u64), Vec<Entry>)> {
     let (base, _) = log.base;
     if snapshot.index < base {
         let message =
-            format!("the log begins after entry {base} but the snapshot before is missing");
+            format!("the log starts after entry {base}, but the snapshot up to there is missing");
         let path = folder.snapshot(base);
         return Err(Error::new(Step::Storage, message).with_peer(path.display()));
     }
@@ -342,6 +359,6 @@
     if snapshot.index == 0 || term == Some(snapshot.term) {
         return Ok((log.base, log.entries.clone()));
     }
-    // A crash came between a leader's snapshot and the new segment after it.
+    // The process crashed after it wrote a leader's snapshot and before it wrote the new segment.
     Ok(((snapshot.index, snapshot.term), Vec::new()))
 }
--- a/tests/replication_explorer.rs
+++ b/tests/replication_explorer.rs
@@ -1,22 +1,22 @@
-//! Thousands of schedules of faults over whole groups in memory, and the proof that breaking any
-//! safeguard is seen.
+//! Simulates thousands of fault schedules on whole groups in memory, and shows that the checks
+//! detect each disabled safeguard.
 
 use rstest::rstest;
 use yuccahold::replication::explore::{Check, Safeguard, explore};
 
-/// Threads of one test; a few tests run at once.
+/// Threads of one test. Few, because several tests run at once.
 const THREADS: usize = 3;
-/// Schedules searched for a broken safeguard at most.
-const SEARCHED: u64 = 12_000;
+/// Most schedules in which a violation by a disabled safeguard is searched for.
+const MAX_SCHEDULES: u64 = 12_000;
 
 #[test]
 fn every_schedule_keeps_every_property() {
-    // Loss, reordering, repetition, one-way cuts, pauses, crashes that drop what was not synced,
-    // wiped disks, full and slow disks, clocks that jump and membership that changes. After all
-    // faults end, the group must work again.
+    // Faults: message loss, reordering and duplication, one-way partitions, pauses, crashes that
+    // lose unsynced data, wiped, full and slow disks, clock jumps and membership changes. After all
+    // faults have ended, the group must make progress again.
     let coverage = explore(0..2000, None, THREADS).unwrap_or_else(|v| panic!("{v}"));
     assert_eq!(coverage.schedules, 2000);
-    let seen = [
+    let counts = [
         coverage.elections,
         coverage.writes,
         coverage.reads,
@@ -28,13 +28,13 @@
         coverage.snapshots_installed,
     ];
     assert!(
-        seen.iter().all(|n| *n > 500),
-        "the run was idle: {coverage:?}"
+        counts.iter().all(|n| *n > 500),
+        "too few events of some kind: {coverage:?}"
     );
     assert!(coverage.quorums_lost <= 5, "{coverage:?}");
 }
 
-/// Each row breaks one safeguard; the checks named are those that may see it first.
+/// Each case disables one safeguard and names the checks that may detect it first.
 #[rstest]
 #[case(Safeguard::SyncBeforeAnswer, &[Check::ElectionSafety, Check::CommittedKept, Check::Progress])]
 #[case(Safeguard::SingleVote, &[Check::ElectionSafety])]
@@ -49,15 +49,16 @@
 #[case(Safeguard::FreshIdentity, &[Check::ElectionSafety, Check::CommittedKept, Check::Progress])]
 #[case(Safeguard::StepDownBeforeTransfer, &[Check::OneActingLeader])]
 #[case(Safeguard::TimeForward, &[Check::TimeForward])]
-fn a_broken_safeguard_is_seen(#[case] broken: Safeguard, #[case] seen_by: &[Check]) {
-    let violation = explore(0..SEARCHED, Some(broken), THREADS).expect_err("nothing was seen");
-    assert!(seen_by.contains(&violation.check), "{violation}");
+fn a_broken_safeguard_is_seen(#[case] disabled: Safeguard, #[case] detected_by: &[Check]) {
+    let violation =
+        explore(0..MAX_SCHEDULES, Some(disabled), THREADS).expect_err("no violation found");
+    assert!(detected_by.contains(&violation.check), "{violation}");
 }
 
 #[test]
 fn a_seed_repeats_its_schedule() {
-    let broken = Some(Safeguard::SingleVote);
-    let first = explore(0..SEARCHED, broken, THREADS).expect_err("nothing was seen");
-    let again = explore(first.seed..first.seed + 1, broken, 1);
+    let disabled = Some(Safeguard::SingleVote);
+    let first = explore(0..MAX_SCHEDULES, disabled, THREADS).expect_err("no violation found");
+    let again = explore(first.seed..first.seed + 1, disabled, 1);
     assert_eq!(again, Err(first));
 }
--- a/tests/replication_runtime.rs
+++ b/tests/replication_runtime.rs
@@ -1,4 +1,4 @@
-//! Replicas with real files and sockets in one process.
+//! Replicas with real files and sockets, all in one process.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -11,9 +11,9 @@
 };
 use yuccahold::wire::{CellKey, CellKeys};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Keeps every command; the reply is their number.
+/// Stores every command; the reply is the number of commands stored.
 #[derive(Default)]
 struct Journal(Vec<Vec<u8>>);
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// A folder that goes away with the test.
+/// A temporary folder, removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -93,8 +93,8 @@
     replica.read(|journal, _| journal.0.len()).await
 }
 
-/// Proposes at whichever replica leads until one confirms. For commands whose repetition is
-/// harmless.
+/// Proposes the command to each replica in turn until one succeeds. The command may be applied more
+/// than once, if an attempt had an unknown outcome.
 async fn propose_somewhere(replicas: &[&ReplicaHandle<Journal>], command: &[u8]) -> usize {
     let attempts = async {
         loop {
@@ -106,7 +106,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, attempts)
+    tokio::time::timeout(TIMEOUT, attempts)
         .await
         .expect("some replica leads")
 }
@@ -114,7 +114,7 @@
 async fn until_voters(replica: &ReplicaHandle<Journal>, n: usize) {
     let mut status = replica.status();
     let reached = status.wait_for(|s| s.voters.len() == n && s.learners.is_empty());
-    tokio::time::timeout(PATIENCE, reached)
+    tokio::time::timeout(TIMEOUT, reached)
         .await
         .expect("members join")
         .unwrap();
@@ -122,8 +122,8 @@
 
 #[tokio::test]
 async fn a_group_of_one_keeps_what_it_confirmed() {
-    // A caller gets its reply only after a sync, so a restart finds every confirmed command,
-    // also those that a snapshot has replaced. Forming again on the same folder is refused.
+    // A proposal succeeds only after a sync, so a restart finds every confirmed command, including
+    // those that are only in a snapshot. Forming a group on the same folder again is refused.
     let folder = Folder::new("one");
     let addrs = free_addrs(1);
     let replica = start(&folder.0, &addrs, 0, Formation::FormGroup);
@@ -145,24 +145,24 @@
     let replica = start(&folder.0, &addrs, 0, Formation::Join);
     let mut status = replica.status();
     let led = status.wait_for(|s| s.committed > 600);
-    tokio::time::timeout(PATIENCE, led).await.unwrap().unwrap();
+    tokio::time::timeout(TIMEOUT, led).await.unwrap().unwrap();
     assert_eq!(count(&replica).await, Ok(600));
     replica.stop().await;
 }
 
 #[tokio::test]
 async fn a_group_of_three_survives_its_leader_and_takes_a_wiped_one_back() {
-    // Two replicas join the one that formed the group. The leader stops and the others go on
-    // with all that was confirmed; then it returns on an empty disk as a new replica, catches up
-    // from a snapshot, and replaces its old self as a voter.
+    // Two replicas join the one that formed the group. The leader stops, and the others continue
+    // with every confirmed command. Then the first restarts with an empty folder as a new replica,
+    // catches up from a snapshot, and replaces its former id as a voter.
     let folder = Folder::new("three");
     let addrs = free_addrs(3);
     let first = start(&folder.0, &addrs, 0, Formation::FormGroup);
     let second = start(&folder.0, &addrs, 1, Formation::Join);
     let third = start(&folder.0, &addrs, 2, Formation::Join);
     until_voters(&first, 3).await;
-    // A busy machine may move leadership on the way, so every replica is asked; a command whose
-    // outcome was unknown may then count twice, but the last reply still tells how many there are.
+    // On a busy host leadership may change meanwhile, so every replica is tried. A command with an
+    // unknown outcome may then be applied twice, but the last reply is still the number applied.
     let mut confirmed = 0;
     for _ in 0..300 {
         confirmed = propose_somewhere(&[&first, &second, &third], &[b'y'; 512]).await;
@@ -177,7 +177,7 @@
     let id = first.status().borrow().id;
     let mut status = first.status();
     let back = status.wait_for(|s| s.voters.contains(&id) && s.voters.len() == 3);
-    tokio::time::timeout(PATIENCE, back)
+    tokio::time::timeout(TIMEOUT, back)
         .await
         .expect("rejoins")
         .unwrap();
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -1,4 +1,4 @@
-//! Files of a replica after crashes, damage and failing disks.
+//! A replica's files after crashes, corruption and disk failures.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -11,7 +11,7 @@
 use yuccahold::replication::{Entry, HardState, Membership, Payload, Save, SaveSnapshot, Snapshot};
 use yuccahold::storage::{Files, RealFiles, Store, WriteError};
 
-/// A folder that goes away with the test.
+/// A temporary folder, removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -22,7 +22,7 @@
         Self(path)
     }
 
-    /// The one log segment.
+    /// Path of the only log segment.
     fn log(&self) -> PathBuf {
         self.file("log-")
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// A store with entries 1 to 3, each in a write of its own.
+/// A store with entries 1 to 3, each in its own batch.
 fn store_of_three(path: &Path) -> Store {
     let (mut store, _) = Store::open(path).unwrap();
     for index in 1..=3 {
@@ -65,7 +65,7 @@
     store
 }
 
-fn change_byte(path: &Path, at: usize) {
+fn corrupt_byte(path: &Path, at: usize) {
     let mut buf = fs::read(path).unwrap();
     buf[at] ^= 0xff;
     fs::write(path, buf).unwrap();
@@ -73,8 +73,8 @@
 
 #[test]
 fn what_was_written_is_found_again() {
-    // A restart finds term, vote, snapshot and the entries in force; a later entry at an index
-    // has replaced what stood there and after.
+    // A restart recovers term, vote, snapshot and entries. A later entry at an index replaces the
+    // entries from that index on.
     let folder = Folder::new("again");
     let mut store = store_of_three(&folder.0);
     let hard = HardState {
@@ -133,8 +133,8 @@
 
 #[test]
 fn a_torn_tail_is_cut_at_every_byte() {
-    // A crash in the midst of a write leaves its beginning. Nobody was told of that write, so
-    // it is cut off, whatever its length, and writing goes on after the last whole one.
+    // A crash during a write leaves a prefix of it. That write was not acknowledged, so a prefix of
+    // any length is truncated, and the next write follows the last complete one.
     let folder = Folder::new("torn");
     drop(store_of_three(&folder.0));
     let whole = fs::read(folder.log()).unwrap();
@@ -156,8 +156,8 @@
 
 #[test]
 fn damage_in_the_middle_is_refused_by_name_at_every_byte() {
-    // One byte changes in what had been synced before the last write. Going on without it would
-    // break what was promised, so the file is refused by name and left as it is.
+    // A byte changes in data that was synced before the last write. Continuing without that data
+    // would lose acknowledged entries, so the file is refused, named in the error and not changed.
     let folder = Folder::new("damage");
     let (mut store, _) = Store::open(&folder.0).unwrap();
     store.write(&[entries([entry(1, 1)])]).unwrap();
@@ -165,12 +165,12 @@
     store.write(&[entries([entry(2, 1)])]).unwrap();
     drop(store);
     for at in 0..before_last {
-        change_byte(&folder.log(), at);
+        corrupt_byte(&folder.log(), at);
         let damaged = fs::read(folder.log()).unwrap();
         let refused = Store::open(&folder.0).err().expect("refused").to_string();
         assert!(refused.contains("log-"), "byte {at}: {refused}");
         assert_eq!(fs::read(folder.log()).unwrap(), damaged);
-        change_byte(&folder.log(), at);
+        corrupt_byte(&folder.log(), at);
     }
     assert!(Store::open(&folder.0).is_ok());
 }
@@ -200,13 +200,13 @@
     drop(store);
     let path = folder.file(file);
     let last = fs::metadata(&path).unwrap().len() as usize - 1;
-    change_byte(&path, last);
+    corrupt_byte(&path, last);
     let refused = Store::open(&folder.0).err().unwrap().to_string();
     assert!(refused.contains(file) && refused.contains(why), "{refused}");
     fs::remove_file(&path).unwrap();
     assert!(
         Store::open(&folder.0).is_err(),
-        "a missing file is noticed as well"
+        "a missing file is refused as well"
     );
 }
 
@@ -214,12 +214,12 @@
 fn another_format_version_is_refused_by_number() {
     let folder = Folder::new("version");
     drop(store_of_three(&folder.0));
-    change_byte(&folder.log(), 8);
+    corrupt_byte(&folder.log(), 8);
     let refused = Store::open(&folder.0).err().unwrap().to_string();
     assert!(refused.contains("format version 254"), "{refused}");
 }
 
-/// Fails as told: 1 a full disk after half of a write, 2 a sync.
+/// Fails according to the value: 1 with a full disk after half of an append, 2 at a sync.
 struct FailingFiles(Arc<AtomicU8>);
 
 impl Files for FailingFiles {
@@ -241,8 +241,8 @@
 
 #[test]
 fn a_full_disk_leaves_nothing_behind_and_a_failed_sync_is_final() {
-    // On a full disk half a batch is written; it is cut off so that the same batch can follow
-    // once there is room. A failed sync is reported as final, for the process to end.
+    // On a full disk, half of a batch is written. It is truncated, so that the same batch can be
+    // written once there is space. A failed sync is reported as fatal, so that the process ends.
     let folder = Folder::new("full");
     let failure = Arc::new(AtomicU8::new(1));
     let (mut store, _) = Store::open_with(&folder.0, FailingFiles(failure.clone())).unwrap();
@@ -261,8 +261,8 @@
 
 #[test]
 fn a_crash_between_snapshot_and_segment_drops_a_log_that_disagrees() {
-    // A leader's snapshot replaces a log that holds other entries. The crash comes after the
-    // snapshot's file and before the new segment: the old entries must not follow the snapshot.
+    // A leader's snapshot replaces a log with other entries. A crash after the snapshot is written
+    // and before the new segment leaves the old log, which must not be used after the snapshot.
     let folder = Folder::new("between");
     drop(store_of_three(&folder.0));
     let old_log = fs::read(folder.log()).unwrap();
