--- a/src/replication/core/election.rs
+++ b/src/replication/core/election.rs
@@ -4,9 +4,10 @@
 use crate::ids::{LogIndex, ReplicaId, Term, Timestamp};
 
 impl Core {
-    /// Whether to process a message of a higher term. Adopts that term, except for a pre-vote.
+    /// Whether to process a message of a higher term. Adopts that term, except for a pre-vote or an
+    /// ignored vote request.
     ///
-    /// A vote request is ignored within the leader lease. Otherwise a replica that returns from a
+    /// A vote request is ignored within the leader lease, unless it follows a transfer. Otherwise a replica that returns from a
     /// network partition with a higher term would depose a working leader.
     pub(super) fn accepts_term(&mut self, now: Timestamp, message: &Message) -> bool {
         match &message.body {
@@ -172,7 +173,7 @@
         }
         self.votes.insert(from);
         if self.members.is_quorum(self.votes.iter().copied()) {
-            self.begin_leading(now);
+            self.become_leader(now);
         }
     }
 
--- a/src/replication/core/leader.rs
+++ b/src/replication/core/leader.rs
@@ -43,7 +43,7 @@
 }
 
 impl Core {
-    pub(super) fn begin_leading(&mut self, now: Timestamp) {
+    pub(super) fn become_leader(&mut self, now: Timestamp) {
         self.role = Role::Leader;
         self.leader = Some(self.cfg.id);
         let last = self.log.last_index();
--- a/src/replication/runtime/config.rs
+++ b/src/replication/runtime/config.rs
@@ -71,7 +71,7 @@
         std::process::exit(crate::ExitCode::GeneralError as i32);
     }
 
-    pub(super) fn core(&self, id: ReplicaId, addr: SocketAddr) -> CoreConfig {
+    pub(super) fn core_config(&self, id: ReplicaId, addr: SocketAddr) -> CoreConfig {
         CoreConfig {
             id,
             member: Member {
--- a/src/replication/runtime/handle.rs
+++ b/src/replication/runtime/handle.rs
@@ -70,14 +70,14 @@
         let addr = listener
             .local_addr()
             .map_err(|e| Error::caused(Step::Listen, "reading the local address", e))?;
-        let core_cfg = cfg.core(opened.id, addr);
+        let core_cfg = cfg.core_config(opened.id, addr);
         let mut found = opened.recovered;
-        let forms = match cfg.form {
+        let forms_group = match cfg.form {
             Formation::FormGroup => true,
             Formation::FormOnce => is_unused(&found),
             Formation::Join | Formation::ForceGroupOfOne => false,
         };
-        if forms {
+        if forms_group {
             found = form_group(&mut store, &core_cfg, found, &cfg)?;
         }
         let mut core = Core::new(core_cfg, rand::random(), monotonic_now(), found);
@@ -276,7 +276,7 @@
     }
 
     /// Runs `f` on this replica's own state, which may be stale. `None` once the replica has ended.
-    pub async fn local<R: Send + 'static>(
+    pub async fn read_local<R: Send + 'static>(
         &self,
         f: impl FnOnce(&M) -> R + Send + 'static,
     ) -> Option<R> {
--- a/tests/replication_runtime.rs
+++ b/tests/replication_runtime.rs
@@ -181,7 +181,7 @@
         .await
         .expect("rejoins")
         .unwrap();
-    assert_eq!(first.local(|j| j.0.len()).await, Some(after));
+    assert_eq!(first.read_local(|j| j.0.len()).await, Some(after));
 
     second.stop().await;
     let last = propose_somewhere(&[&first, &third], b"last").await;
