--- a/src/platform/client.rs
+++ b/src/platform/client.rs
@@ -1,4 +1,5 @@
-//! One HTTP client for all calls that the scheduler makes, over kept connections.
+//! HTTP client for every call that the scheduler makes to minions and to the policy service, with
+//! a pool of idle connections per address.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,34 +16,36 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Names the incarnation that a call is meant for.
-const EXPECT_INSTANCE: &str = "Yuccahold-Expect-Instance";
-/// Connections kept to one address: one that waits in a hold, others for orders.
-const KEPT: usize = 4;
-/// Largest answer taken; a list of 500 ends takes 50 KB.
-const MAX_ANSWER: usize = 4 * 1024 * 1024;
-/// Time for a connection to open, as part of a call's.
+/// Header with the id of the minion instance that a call is meant for. A minion that has
+/// restarted under another id refuses the call.
+const EXPECT_INSTANCE_HEADER: &str = "Yuccahold-Expect-Instance";
+/// Idle connections kept to one address: one for the hold, a long poll, the others for start and
+/// stop orders.
+const MAX_IDLE_PER_ADDR: usize = 4;
+/// Longest accepted response; a list of 500 ended runs takes 50 KB.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
+/// Longest time for opening a connection; it counts towards the call's own timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Why a call brought no answer.
+/// Why a call got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Failure {
-    /// Nobody listens there.
+    /// The peer refused the connection: the request was not sent.
     Refused,
-    /// No answer in time.
+    /// The connection could not be opened, or the call timed out.
     Lost,
-    /// The connection broke.
+    /// The connection failed while the request was in flight, or the response was too long.
     Broken,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A pool of connections; cheap to clone.
+/// Clones share one pool of idle connections.
 #[derive(Clone, Default)]
 pub(super) struct Client(Arc<Mutex<HashMap<SocketAddr, Vec<Sender>>>>);
 
 impl Client {
-    /// Posts a body and waits for the whole answer.
+    /// Posts `body` as JSON and reads the whole response, within `within` in total.
     pub(super) async fn post(
         &self,
         addr: SocketAddr,
@@ -56,12 +59,12 @@
             .header(HOST, addr.to_string())
             .header(CONTENT_TYPE, "application/json");
         if let Some(instance) = instance {
-            req = req.header(EXPECT_INSTANCE, instance);
+            req = req.header(EXPECT_INSTANCE_HEADER, instance);
         }
         let req = req
             .body(Full::new(Bytes::from(body)))
             .map_err(|_| Failure::Lost)?;
-        // A connection whose call had no answer is dropped with it: it may have fallen silent.
+        // On a timeout the connection is dropped with the call: the peer may no longer answer on it.
         match timeout(within, self.exchange(addr, req)).await {
             Ok(done) => done,
             Err(_) => Err(Failure::Lost),
@@ -73,20 +76,22 @@
         addr: SocketAddr,
         req: Request<Full<Bytes>>,
     ) -> Result<(StatusCode, Bytes), Failure> {
-        let mut sender = match self.idle(addr) {
+        let mut sender = match self.take_idle(addr) {
             Some(sender) => sender,
             None => connect(addr).await?,
         };
         let reply = sender.send_request(req).await;
         let reply = reply.map_err(|_| Failure::Broken)?;
         let status = reply.status();
-        let body = Limited::new(reply.into_body(), MAX_ANSWER).collect().await;
+        let body = Limited::new(reply.into_body(), MAX_RESPONSE_BYTES)
+            .collect()
+            .await;
         let body = body.map_err(|_| Failure::Broken)?.to_bytes();
-        self.keep(addr, sender);
+        self.put_back(addr, sender);
         Ok((status, body))
     }
 
-    fn idle(&self, addr: SocketAddr) -> Option<Sender> {
+    fn take_idle(&self, addr: SocketAddr) -> Option<Sender> {
         let mut pool = self.0.lock().expect("no holder panics");
         let idle = pool.get_mut(&addr)?;
         while let Some(sender) = idle.pop() {
@@ -97,10 +102,10 @@
         None
     }
 
-    fn keep(&self, addr: SocketAddr, sender: Sender) {
+    fn put_back(&self, addr: SocketAddr, sender: Sender) {
         let mut pool = self.0.lock().expect("no holder panics");
         let idle = pool.entry(addr).or_default();
-        if idle.len() < KEPT && !sender.is_closed() {
+        if idle.len() < MAX_IDLE_PER_ADDR && !sender.is_closed() {
             idle.push(sender);
         }
     }
@@ -119,7 +124,7 @@
         .await
         .map_err(|_| Failure::Lost)?;
     tokio::spawn(async move {
-        // Its end shows in the sender.
+        // The sender reports the end of the connection, so its result is not needed here.
         let _ = connection.await;
     });
     Ok(sender)
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration: reading and checking.
+//! Parses and validates the operator's configuration document.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::batch::workspaces::{KeyHash, Workspace, Workspaces};
 use crate::resources::Resources;
 
-/// Weights from here on are taken for a mistake.
+/// Weights of this size and above are refused as mistakes.
 const MAX_WEIGHT: f64 = 1e9;
 
 #[derive(Deserialize)]
@@ -23,7 +23,7 @@
     services: Vec<ServiceBody>,
     #[serde(default)]
     limits: Option<LimitsBody>,
-    /// Left out where callers have no keys.
+    /// Absent when callers need no keys.
     #[serde(default)]
     tenants: Option<Vec<TenantBody>>,
 }
@@ -83,14 +83,14 @@
     api_keys: Vec<CompactString>,
     #[serde(default = "whole")]
     weight: f64,
-    /// What may run at once; zero is no limit.
+    /// Resources that the workspace's runs may use at the same time; zero means no limit.
     #[serde(default)]
     max_count: MostBody,
 }
 
 #[derive(Default, Deserialize)]
 struct MostBody {
-    /// Thousandths of a core.
+    /// Millicores.
     #[serde(default)]
     cpu: u32,
     #[serde(default)]
@@ -112,22 +112,22 @@
     1.0
 }
 
-/// Reads a configuration; the error is one sentence for the operator.
+/// Parses and validates a configuration; the error is one sentence for the operator.
 pub fn decode(document: Bytes) -> Result<ConfigOrder, String> {
     let body: ConfigBody = serde_json::from_slice(&document).map_err(without_values)?;
-    let known: BTreeSet<_> = body.services.iter().map(|s| s.name.clone()).collect();
-    let mut places = BTreeSet::new();
+    let service_names: BTreeSet<_> = body.services.iter().map(|s| s.name.clone()).collect();
+    let mut prefixes = BTreeSet::new();
     let mut queues = Vec::with_capacity(body.routes.len());
     for route in body.routes {
-        if !known.contains(&route.service) {
+        if !service_names.contains(&route.service) {
             return Err(format!(
                 "route {}: unknown service {}",
                 route.name, route.service
             ));
         }
-        if !places.insert((route.host.clone(), route.path_prefix.clone())) {
+        if !prefixes.insert((route.host.clone(), route.path_prefix.clone())) {
             return Err(format!(
-                "route {}: another one has its host and prefix",
+                "route {}: another route has the same host and path_prefix",
                 route.name
             ));
         }
@@ -154,7 +154,7 @@
     })
 }
 
-/// What is wrong with a document, without the values in it: one may be a key.
+/// The parser's message without the values it quotes: one of them may be a key.
 fn without_values(e: serde_json::Error) -> String {
     let text = e.to_string();
     let (Some((kind, _)), Some((_, expected))) =
@@ -165,13 +165,15 @@
     format!("{kind}, expected {expected}")
 }
 
-/// The error names the workspace and never a key.
+/// Converts the workspaces and their keys. The error names the workspace and never contains a key.
 fn workspaces(tenants: Vec<TenantBody>) -> Result<Workspaces, String> {
     let mut all = Workspaces::default();
     for tenant in tenants {
         let name = tenant.name;
         if !(0.0..MAX_WEIGHT).contains(&tenant.weight) {
-            return Err(format!("tenant {name}: weight is not a rate"));
+            return Err(format!(
+                "tenant {name}: weight must be at least 0 and below {MAX_WEIGHT}"
+            ));
         }
         let limit = Resources {
             millicores: tenant.max_count.cpu,
@@ -183,7 +185,7 @@
             limit,
         };
         if all.by_name.insert(name.clone(), workspace).is_some() {
-            return Err(format!("tenant {name}: another one has its name"));
+            return Err(format!("tenant {name}: another tenant has the same name"));
         }
         for key in &tenant.api_keys {
             if key.is_empty() {
@@ -200,13 +202,16 @@
 
 fn queue(route: RouteBody) -> Result<Queue, String> {
     if !route.stretch.is_finite() || route.stretch < 0.0 {
-        return Err(format!("route {}: stretch is not a factor", route.name));
+        return Err(format!(
+            "route {}: stretch must be a finite number of at least 0",
+            route.name
+        ));
     }
     let advice = match route.advice {
         Some(a) => Some(AdviceTerms {
-            base: span(a.decide_ms)?,
-            per_minion: span(a.each_ms)?,
-            validity: span(a.validity_ms)?,
+            base: duration(a.decide_ms)?,
+            per_minion: duration(a.each_ms)?,
+            validity: duration(a.validity_ms)?,
         }),
         None => None,
     };
@@ -214,8 +219,8 @@
         name: route.name,
         host: route.host,
         prefix: route.path_prefix,
-        timeout: span(route.timeout_ms)?,
-        slo: span(route.slo_ms)?,
+        timeout: duration(route.timeout_ms)?,
+        slo: duration(route.slo_ms)?,
         stretch: route.stretch,
         priority: route.priority,
         service: route.service,
@@ -229,14 +234,14 @@
     Ok(Limits {
         header_bytes: body.max_header_bytes,
         body_bytes: body.max_body_bytes,
-        header_timeout: span(body.header_timeout_ms)?,
-        idle_timeout: span(body.idle_timeout_ms)?,
+        header_timeout: duration(body.header_timeout_ms)?,
+        idle_timeout: duration(body.idle_timeout_ms)?,
     })
 }
 
-fn span(ms: f64) -> Result<Duration, String> {
+fn duration(ms: f64) -> Result<Duration, String> {
     if !(0.0..1e12).contains(&ms) {
-        return Err(format!("{ms} is not a span of time"));
+        return Err(format!("{ms} is not a valid number of milliseconds"));
     }
     Ok(Duration::from_secs_f64(ms / 1000.0))
 }
--- a/src/platform/control.rs
+++ b/src/platform/control.rs
@@ -1,4 +1,4 @@
-//! The control daemon on the platform.
+//! The control daemon in platform mode: a replica of the scheduler's state that can lead.
 
 use std::ffi::OsString;
 use std::process::ExitCode as ProcessExitCode;
@@ -8,10 +8,10 @@
 use tokio::sync::{mpsc, watch};
 
 use super::client::Client;
-use super::daemon::{bind, farewell, open_cell_keys, run_daemon, serve_metrics, wait_for_end};
+use super::daemon::{bind, drain_time, open_cell_keys, run_daemon, serve_metrics, wait_for_end};
 use super::http;
 use super::minions::{self, MinionCalls};
-use super::operator::ControlFront;
+use super::operator::ControlHandler;
 use super::settings::Boot;
 use crate::batch::agents::Agents;
 use crate::batch::dispatch::Mechanisms;
@@ -24,20 +24,20 @@
 use crate::exit_codes::ExitCode;
 use crate::replication::{Formation, Replica, ReplicaConfig};
 
-/// Shortest silence of a leader before an election. A disk that is thirty times slower than
-/// usual still syncs within it.
+/// Shortest time without a message from the leader before a replica starts an election. A disk
+/// that is thirty times slower than usual still syncs within this time.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time between a leader's heartbeats.
+/// Interval of the leader's heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(80);
-/// Silence after which a voter is replaced by a spare. Below the platform's bound for a
-/// newcomer to count, above the time of a restart.
+/// Time after which an unreachable voter is replaced by a learner. It is shorter than the time the
+/// platform allows a new replica to become a voter, and longer than a restart takes.
 const REPLACE_AFTER: Duration = Duration::from_millis(2500);
-/// Bytes of log that cause a snapshot; a tenth of the disk holds several.
+/// Log size that triggers a snapshot; a tenth of the disk holds several snapshots.
 const SNAPSHOT_BYTES: u64 = 6 * 1024 * 1024;
-/// Voters wanted; fewer while fewer exist.
+/// Target number of voters; the group has fewer while fewer replicas exist.
 const VOTERS: usize = 5;
 
-/// Runs the control daemon until it is told to end. `args` are those after `--platform`.
+/// Runs the control daemon until SIGTERM. `args` are the arguments after `--platform`.
 pub fn run(args: impl Iterator<Item = OsString>) -> ProcessExitCode {
     let mechanisms = match parse_args(args) {
         Ok(mechanisms) => mechanisms,
@@ -52,7 +52,7 @@
     })
 }
 
-/// Reads the mechanisms to decide without; the error is one sentence.
+/// Parses `--without NAME,...`, which switches off scheduling mechanisms; the error is one sentence.
 pub fn parse_args(args: impl Iterator<Item = OsString>) -> Result<Mechanisms, String> {
     let mut mechanisms = Mechanisms::default();
     let mut parser = lexopt::Parser::from_args(args);
@@ -72,14 +72,14 @@
     let data = boot
         .data
         .clone()
-        .ok_or_else(|| Error::new(Step::Settings, "no folder for files is given"))?;
+        .ok_or_else(|| Error::new(Step::Settings, "data_dir is missing"))?;
     serve_metrics(&boot, &log).await?;
     for mechanism in boot.dispatch.mechanisms.off() {
         info!(log, "mechanism switched off"; "name" => mechanism.as_str());
     }
     let keys = open_cell_keys()?;
     let control = bind(boot.control, "operators and minions").await?;
-    let calls = bind(Some(boot.call_addr()), "calls").await?;
+    let calls = bind(Some(boot.call_addr()), "calls to the leader").await?;
     let (orders_tx, orders) = mpsc::unbounded_channel();
     let machine = Machine::new(boot.dispatch.clone(), orders_tx);
     let cfg = ReplicaConfig {
@@ -117,40 +117,43 @@
     let server = CallServer::new(replica.clone(), keys, agents, boot.ip, log.clone());
     tokio::spawn(server.clone().serve(calls));
     let (_stop, stopping) = watch::channel(false);
-    let front = ControlFront {
+    let handler = ControlHandler {
         leader: ToLeader {
             local: server,
             link: link.clone(),
         },
         log: log.clone(),
     };
-    tokio::spawn(http::serve(control, front, Limits::default(), stopping));
-    tokio::spawn(tell_role(replica.status(), log.clone()));
+    tokio::spawn(http::serve(control, handler, Limits::default(), stopping));
+    tokio::spawn(log_role_changes(replica.status(), log.clone()));
     wait_for_end(&link, &log).await?;
-    info!(log, "stopping"; "farewell_ms" => farewell(&boot).as_millis() as u64);
+    info!(log, "stopping"; "farewell_ms" => drain_time(&boot).as_millis() as u64);
     replica.hand_over().await;
-    tokio::time::sleep(farewell(&boot) / 2).await;
+    tokio::time::sleep(drain_time(&boot) / 2).await;
     replica.abort().await;
     Ok(())
 }
 
-/// Logs each change of what this replica believes of its group.
-async fn tell_role(mut status: watch::Receiver<crate::replication::ReplicaStatus>, log: Logger) {
+/// Logs each change in this replica's view of its group: role, term, leader and member counts.
+async fn log_role_changes(
+    mut status: watch::Receiver<crate::replication::ReplicaStatus>,
+    log: Logger,
+) {
     let mut last = None;
     while status.changed().await.is_ok() {
         let now = status.borrow_and_update().clone();
-        let belief = (
+        let view = (
             now.role,
             now.term,
             now.leader,
             now.voters.len(),
             now.learners.len(),
         );
-        if last == Some(belief) {
+        if last == Some(view) {
             continue;
         }
-        last = Some(belief);
-        info!(log, "group"; "role" => format!("{:?}", now.role), "term" => now.term,
+        last = Some(view);
+        info!(log, "replication group changed"; "role" => format!("{:?}", now.role), "term" => now.term,
             "leader" => now.leader.map(|id| format!("{id:016x}")),
             "voters" => now.voters.len(), "learners" => now.learners.len(),
             "committed" => now.committed);
--- a/src/platform/daemon.rs
+++ b/src/platform/daemon.rs
@@ -1,4 +1,4 @@
-//! What both daemons share on the platform: the process around them, signals, metrics.
+//! What both daemons share in platform mode: startup, signals, reload of the settings, metrics.
 
 use std::net::SocketAddr;
 use std::process::ExitCode as ProcessExitCode;
@@ -9,7 +9,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-use super::front::MetricsFront;
+use super::front::MetricsHandler;
 use super::http;
 use super::settings::{Boot, PATH_VARIABLE};
 use crate::batch::link::LeaderLink;
@@ -19,22 +19,24 @@
 use crate::telemetry;
 use crate::wire::{CellKey, CellKeys};
 
-/// Key between the daemons. The platform gives no secret, so this proves no identity; it keeps
-/// processes of other versions and stray connections apart. Only machines of the system can reach
-/// the ports.
-const OPEN_CELL: &str = "open cell on a closed network";
-/// Time between two foldings of the histograms, which would grow while nobody reads the page.
-const METRICS_UPKEEP: Duration = Duration::from_secs(5);
-/// Time between two looks at the settings file: a change matters when the next leader is sought.
-const SETTINGS_LOOK: Duration = Duration::from_secs(2);
-/// Part of the time before SIGKILL that is left for the process to end by itself.
+/// Cell key of the daemons. The platform provides no secret, so the key proves no identity; it only
+/// rejects processes of other versions and connections made by mistake. Only hosts of the system
+/// can reach the ports.
+const OPEN_CELL_KEY: &str = "open cell on a closed network";
+/// Interval at which histogram samples are folded into buckets; without it they would use more and
+/// more memory while the metrics page is not read.
+const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval at which the settings file is checked for changes; new seeds are first used when the
+/// daemon next searches for a leader.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(2);
+/// Part of the time between SIGTERM and SIGKILL that is reserved for the process to exit.
 const GRACE_RESERVE: Duration = Duration::from_millis(800);
 
 pub(super) fn open_cell_keys() -> Result<CellKeys> {
-    CellKeys::new([CellKey::from_text(OPEN_CELL)])
+    CellKeys::new([CellKey::from_text(OPEN_CELL_KEY)])
 }
 
-/// Runs a daemon's body on a runtime of one thread.
+/// Sets up the log and the settings and runs `body` on a single-threaded runtime.
 pub(super) fn run_daemon<F>(
     name: &'static str,
     body: impl FnOnce(Boot, Logger) -> F,
@@ -45,7 +47,7 @@
     let (log, guard) = match telemetry::stdout_logger(name) {
         Ok(made) => made,
         Err(e) => {
-            eprintln!("{name}: no thread for the log: {e}");
+            eprintln!("{name}: the log thread cannot be started: {e}");
             return ExitCode::GeneralError.into();
         }
     };
@@ -60,7 +62,7 @@
     info!(log, "starting"; "version" => env!("CARGO_PKG_VERSION"), "node" => boot.node.as_str(),
         "zone" => boot.zone.as_str(), "first_start" => boot.first_start,
         "seeds" => format!("{:?}", boot.seed_calls()));
-    warn_of_seeds(&boot, &log);
+    warn_unreadable_seeds(&boot, &log);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -82,9 +84,9 @@
     code.into()
 }
 
-fn warn_of_seeds(boot: &Boot, log: &Logger) {
+fn warn_unreadable_seeds(boot: &Boot, log: &Logger) {
     if !boot.unreadable_seeds.is_empty() {
-        warn!(log, "seeds that are no addresses are passed over";
+        warn!(log, "seeds that are not addresses are ignored";
             "entries" => boot.unreadable_seeds.join(", "));
     }
 }
@@ -101,63 +103,64 @@
     })
 }
 
-/// Waits for the order to end; takes new seeds into use when the settings change meanwhile.
+/// Waits for SIGTERM. Meanwhile it reloads the settings on SIGHUP or when the file changes, and
+/// passes the new seeds to `link`.
 pub(super) async fn wait_for_end(link: &LeaderLink, log: &Logger) -> Result<()> {
     let failed = |e| Error::caused(Step::Listen, "receiving signals", e);
     let mut terminate = signal(SignalKind::terminate()).map_err(failed)?;
     let mut reload = signal(SignalKind::hangup()).map_err(failed)?;
-    let mut seen = settings_changed_at();
+    let mut loaded = settings_modified_at();
     loop {
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
             _ = reload.recv() => {}
             // The file may also change without a signal.
-            () = tokio::time::sleep(SETTINGS_LOOK) => {
-                if settings_changed_at() == seen {
+            () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => {
+                if settings_modified_at() == loaded {
                     continue;
                 }
             }
         }
-        seen = settings_changed_at();
+        loaded = settings_modified_at();
         match Boot::from_environment() {
             Ok(boot) => {
-                info!(log, "settings read again"; "seeds" => format!("{:?}", boot.seed_calls()));
-                warn_of_seeds(&boot, log);
+                info!(log, "settings reloaded"; "seeds" => format!("{:?}", boot.seed_calls()));
+                warn_unreadable_seeds(&boot, log);
                 link.set_seeds(boot.seed_calls());
             }
-            Err(e) => warn!(log, "changed settings are refused; the old ones stay";
+            Err(e) => warn!(log, "changed settings are invalid; the old ones stay in use";
                 "error" => %e),
         }
     }
 }
 
-/// When the settings file was last written; none when that cannot be told, which is no change.
-fn settings_changed_at() -> Option<std::time::SystemTime> {
+/// Modification time of the settings file; `None` when it cannot be read.
+fn settings_modified_at() -> Option<std::time::SystemTime> {
     let path = std::env::var_os(PATH_VARIABLE)?;
     std::fs::metadata(path).and_then(|m| m.modified()).ok()
 }
 
-/// Serves the metrics page. A daemon whose metrics port is taken does its work all the same.
+/// Serves the metrics page. A daemon whose metrics port is in use runs without it.
 pub(super) async fn serve_metrics(boot: &Boot, log: &Logger) -> Result<()> {
     let page = telemetry::install_metrics()?;
     match bind(Some(boot.metrics_addr()), "metrics").await {
         Ok(listener) => {
             let (_, stopping) = watch::channel(false);
-            let pages = MetricsFront(page.clone());
+            let handler = MetricsHandler(page.clone());
             tokio::spawn(async move {
                 loop {
-                    tokio::time::sleep(METRICS_UPKEEP).await;
+                    tokio::time::sleep(METRICS_UPKEEP_INTERVAL).await;
                     page.upkeep();
                 }
             });
-            tokio::spawn(http::serve(listener, pages, Limits::default(), stopping));
+            tokio::spawn(http::serve(listener, handler, Limits::default(), stopping));
         }
         Err(e) => warn!(log, "metrics are not served"; "error" => %e),
     }
     Ok(())
 }
 
-/// Time for which a process that was told to end still answers.
-pub(super) fn farewell(boot: &Boot) -> Duration {
+/// Time after SIGTERM during which the process still answers requests.
+pub(super) fn drain_time(boot: &Boot) -> Duration {
     boot.grace.saturating_sub(GRACE_RESERVE)
 }
--- a/src/platform/entry.rs
+++ b/src/platform/entry.rs
@@ -1,4 +1,4 @@
-//! The traffic daemon on the platform.
+//! The entry daemon in platform mode: takes callers' requests and forwards them to the leader.
 
 use std::process::ExitCode as ProcessExitCode;
 
@@ -6,8 +6,8 @@
 use tokio::sync::watch;
 
 use super::client::Client;
-use super::daemon::{bind, farewell, open_cell_keys, run_daemon, serve_metrics, wait_for_end};
-use super::front::{Front, Ready};
+use super::daemon::{bind, drain_time, open_cell_keys, run_daemon, serve_metrics, wait_for_end};
+use super::front::{CallerHandler, ReadinessHandler};
 use super::http;
 use super::minions::calls;
 use super::settings::Boot;
@@ -15,7 +15,7 @@
 use crate::batch::model::Limits;
 use crate::error::Result;
 
-/// Runs the traffic daemon until it is told to end.
+/// Runs the entry daemon until SIGTERM.
 pub fn run() -> ProcessExitCode {
     run_daemon("yuccahold-entry", serve)
 }
@@ -28,20 +28,20 @@
     let link = LeaderLink::start(boot.seed_calls(), open_cell_keys()?, calls, log.clone());
     let (stop, stopping) = watch::channel(false);
     let limits = Limits::default();
-    let callers = Front {
+    let callers = CallerHandler {
         link: link.clone(),
         limits,
         log: log.clone(),
     };
     tokio::spawn(http::serve(front, callers, limits, stopping.clone()));
-    let balancer = Ready {
+    let balancer = ReadinessHandler {
         link: link.clone(),
         stopping: stopping.clone(),
     };
     tokio::spawn(http::serve(ready, balancer, limits, stopping));
     wait_for_end(&link, &log).await?;
-    info!(log, "stopping"; "farewell_ms" => farewell(&boot).as_millis() as u64);
+    info!(log, "stopping"; "farewell_ms" => drain_time(&boot).as_millis() as u64);
     stop.send_replace(true);
-    tokio::time::sleep(farewell(&boot)).await;
+    tokio::time::sleep(drain_time(&boot)).await;
     Ok(())
 }
--- a/src/platform/front.rs
+++ b/src/platform/front.rs
@@ -1,4 +1,5 @@
-//! Callers' requests: a queue is a path prefix, a job is a path in it.
+//! HTTP handlers of the entry daemon: callers' requests, readiness and metrics. A queue is a path
+//! prefix, and a job is one path segment below it.
 
 use std::time::Duration;
 
@@ -10,7 +11,9 @@
 use slog::{Logger, info};
 use tokio::time::Instant;
 
-use super::http::{Handler, Reply, body_refused, come_back, empty, json, read_body, refused, text};
+use super::http::{
+    Handler, Reply, body_error_reply, empty, error_reply, json, read_body, retry_later, text,
+};
 use super::jobs::{self, PendingBody};
 use super::settings::METRICS_PATH;
 use crate::batch::calls::{Call, CallReply, ClientAction, ClientCall, ClientReply};
@@ -20,51 +23,52 @@
 use crate::batch::workspaces::KeyHash;
 use crate::telemetry::MetricsPage;
 
-/// How long the caller waits for an answer, in ms.
-const DEADLINE: &str = "Yuccahold-Deadline-Ms";
-/// Time for an answer when the caller names none: the timeout of the users' routes.
+/// Header with the time in ms for which the caller waits for an answer.
+const DEADLINE_HEADER: &str = "Yuccahold-Deadline-Ms";
+/// Time for an answer when the header is absent or not a number; the users' routes have the same
+/// timeout.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(3);
-/// Part of the caller's time that is left for the answer's way back.
+/// Part of the caller's time that is reserved for returning the answer.
 const ANSWER_RESERVE: Duration = Duration::from_millis(100);
 
-/// Scheme under which callers send their keys.
+/// Authorization scheme of callers' keys.
 const KEY_SCHEME: &str = "Bearer";
 
-/// Answers callers.
+/// Forwards callers' requests to the leader.
 #[derive(Clone)]
-pub(super) struct Front {
+pub(super) struct CallerHandler {
     pub(super) link: LeaderLink,
     pub(super) limits: Limits,
     pub(super) log: Logger,
 }
 
-impl Handler for Front {
+impl Handler for CallerHandler {
     async fn handle(&self, req: Request<Incoming>) -> Reply {
         let received = Instant::now();
         let host = host_of(&req);
         let path = CompactString::from(req.uri().path());
-        let patience = deadline_of(&req);
+        let timeout = timeout_of(&req);
         let key = key_of(&req);
         let is_job = path.rsplit('/').next().and_then(parse_job_id).is_some();
         let action = match (req.method().clone(), is_job) {
             (Method::POST, true) => {
                 let body = match read_body(req.into_body(), self.limits.body_bytes as usize).await {
                     Ok(body) => body,
-                    Err(e) => return body_refused(e),
+                    Err(e) => return body_error_reply(e),
                 };
                 match jobs::decode(&body) {
                     Ok(spec) => ClientAction::Submit(spec),
-                    Err(why) => return refused(StatusCode::BAD_REQUEST, &why),
+                    Err(why) => return error_reply(StatusCode::BAD_REQUEST, &why),
                 }
             }
             (Method::GET, true) => ClientAction::State,
             (Method::DELETE, true) => ClientAction::Cancel,
             (Method::GET, false) => ClientAction::Pending,
             (Method::POST | Method::DELETE, false) => {
-                // Whether there is such a queue at all is for the leader to say.
+                // Not a job path. The leader decides whether the queue exists.
                 ClientAction::Pending
             }
-            _ => return refused(StatusCode::METHOD_NOT_ALLOWED, "only GET, POST and DELETE"),
+            _ => return error_reply(StatusCode::METHOD_NOT_ALLOWED, "only GET, POST and DELETE"),
         };
         let changes = matches!(action, ClientAction::Submit(_) | ClientAction::Cancel);
         let call = ClientCall {
@@ -74,13 +78,10 @@
             action,
         };
         let path = call.path.clone();
-        let patience = patience.saturating_sub(ANSWER_RESERVE);
+        let timeout = timeout.saturating_sub(ANSWER_RESERVE);
         let absent = self.link.absent(received);
-        let patience = absent.map_or(patience, |absent| patience.min(leader_wait(absent)));
-        let reply = self
-            .link
-            .call(Call::Client(call), received + patience)
-            .await;
+        let timeout = absent.map_or(timeout, |absent| timeout.min(leader_wait(absent)));
+        let reply = self.link.call(Call::Client(call), received + timeout).await;
         let took = received.elapsed();
         let outcome = outcome(&reply);
         counter!("yuccahold_batch_requests_total", "outcome" => outcome).increment(1);
@@ -108,17 +109,17 @@
     }
 }
 
-/// `retry` is when callers may come back that found no leader.
+/// `retry` is the value of `Retry-After` when no leader was reached.
 fn to_http(reply: Result<CallReply, NoAnswer>, retry: Duration) -> Reply {
     let unavailable = |after| {
-        come_back(
+        retry_later(
             StatusCode::SERVICE_UNAVAILABLE,
             after,
-            "not accepted and not run; come back later",
+            "not accepted and not run; try again later",
         )
     };
     let in_doubt = || {
-        refused(
+        error_reply(
             StatusCode::GATEWAY_TIMEOUT,
             "the outcome is not known; ask again",
         )
@@ -128,11 +129,13 @@
             ClientReply::Accepted => empty(StatusCode::OK),
             ClientReply::State(state) => json(StatusCode::OK, &jobs::state(state)),
             ClientReply::Pending(pending) => json(StatusCode::OK, &PendingBody { pending }),
-            ClientReply::Gone => refused(StatusCode::GONE, "there is no such job"),
-            ClientReply::NoQueue => refused(StatusCode::NOT_FOUND, "there is no such queue"),
+            ClientReply::Gone => error_reply(StatusCode::GONE, "there is no such job"),
+            ClientReply::NoQueue => error_reply(StatusCode::NOT_FOUND, "there is no such queue"),
             ClientReply::Unauthenticated => unauthenticated(),
-            ClientReply::IdTaken => refused(StatusCode::CONFLICT, "the id is that of another job"),
-            ClientReply::Invalid(why) => refused(StatusCode::BAD_REQUEST, &why),
+            ClientReply::IdTaken => {
+                error_reply(StatusCode::CONFLICT, "the id belongs to another job")
+            }
+            ClientReply::Invalid(why) => error_reply(StatusCode::BAD_REQUEST, &why),
             ClientReply::Unavailable(after) => unavailable(after),
             ClientReply::InDoubt => in_doubt(),
         },
@@ -144,13 +147,14 @@
 }
 
 fn unauthenticated() -> Reply {
-    let mut reply = refused(StatusCode::UNAUTHORIZED, "the key is missing or not known");
+    let mut reply = error_reply(StatusCode::UNAUTHORIZED, "the key is missing or unknown");
     let scheme = HeaderValue::from_static(KEY_SCHEME);
     reply.headers_mut().insert(WWW_AUTHENTICATE, scheme);
     reply
 }
 
-/// The key of a request; `None` when it has none, or several.
+/// Hash of the request's key; `None` unless there is exactly one well-formed `Authorization`
+/// header.
 fn key_of<B>(req: &Request<B>) -> Option<KeyHash> {
     let mut values = req.headers().get_all(AUTHORIZATION).iter();
     let (Some(value), None) = (values.next(), values.next()) else {
@@ -165,7 +169,7 @@
 fn host_of<B>(req: &Request<B>) -> CompactString {
     let host = req.headers().get(HOST).and_then(|h| h.to_str().ok());
     let host = host.or_else(|| req.uri().host()).unwrap_or_default();
-    // A port after the name does not belong to it.
+    // Strips the port.
     let name = host.rsplit_once(':').map_or(host, |(name, port)| {
         if port.bytes().all(|b| b.is_ascii_digit()) {
             name
@@ -176,21 +180,24 @@
     CompactString::from(name).to_lowercase()
 }
 
-fn deadline_of<B>(req: &Request<B>) -> Duration {
-    let text = req.headers().get(DEADLINE).and_then(|v| v.to_str().ok());
+fn timeout_of<B>(req: &Request<B>) -> Duration {
+    let text = req
+        .headers()
+        .get(DEADLINE_HEADER)
+        .and_then(|v| v.to_str().ok());
     let ms = text.and_then(|t| t.trim().parse::<u64>().ok());
     ms.map_or(DEFAULT_DEADLINE, Duration::from_millis)
         .min(Duration::from_secs(60))
 }
 
-/// Tells the balancer whether to send connections here.
+/// Answers the load balancer's readiness check: ready while connected to a leader and not stopping.
 #[derive(Clone)]
-pub(super) struct Ready {
+pub(super) struct ReadinessHandler {
     pub(super) link: LeaderLink,
     pub(super) stopping: tokio::sync::watch::Receiver<bool>,
 }
 
-impl Handler for Ready {
+impl Handler for ReadinessHandler {
     async fn handle(&self, _: Request<Incoming>) -> Reply {
         if *self.stopping.borrow() || !self.link.is_connected() {
             return empty(StatusCode::SERVICE_UNAVAILABLE);
@@ -201,12 +208,12 @@
 
 /// Serves the metrics page.
 #[derive(Clone)]
-pub(super) struct MetricsFront(pub(super) MetricsPage);
+pub(super) struct MetricsHandler(pub(super) MetricsPage);
 
-impl Handler for MetricsFront {
+impl Handler for MetricsHandler {
     async fn handle(&self, req: Request<Incoming>) -> Reply {
         if req.uri().path() != METRICS_PATH {
-            return refused(StatusCode::NOT_FOUND, "there is nothing at this path");
+            return error_reply(StatusCode::NOT_FOUND, "there is nothing at this path");
         }
         text(self.0.render())
     }
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 towards whoever calls: accepting, limits, bodies and the end of connections.
+//! HTTP/1.1 server shared by both daemons: accept loop, size limits, bodies, replies and closing of
+//! connections at a stop.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -18,18 +19,19 @@
 
 use crate::batch::model::Limits;
 
-/// Pause after a failed accept: out of descriptors, most likely.
+/// Pause after a failed accept, which mostly means that file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
 pub(super) type Reply = Response<Full<Bytes>>;
 
-/// Answers requests.
+/// Turns one request into a reply; clones serve connections concurrently.
 pub(super) trait Handler: Clone + Send + Sync + 'static {
     fn handle(&self, req: Request<Incoming>) -> impl Future<Output = Reply> + Send;
 }
 
-/// Accepts connections until the process ends. Once `stopping` is true, each answer says that
-/// its connection is closed, and connections without a request are let go by their callers.
+/// Accepts connections until the process ends. Once `stopping` is true, each reply carries
+/// `Connection: close`, so that the client closes the connection; idle connections are left for the
+/// client to close.
 pub(super) async fn serve<H: Handler>(
     listener: TcpListener,
     handler: H,
@@ -64,16 +66,17 @@
             .max_buf_size(limits.header_bytes as usize)
             .serve_connection(TokioIo::new(stream), service);
         tokio::spawn(async move {
-            // A caller that breaks off is no event of ours.
+            // A client that disconnects is not an error of this process.
             let _ = connection.await;
         });
     }
 }
 
-/// Why a body was not read.
+/// Why a request body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BodyError {
     TooLarge,
+    /// The connection failed before the end of the body.
     Broken,
 }
 
@@ -85,10 +88,10 @@
     }
 }
 
-pub(super) fn body_refused(e: BodyError) -> Reply {
+pub(super) fn body_error_reply(e: BodyError) -> Reply {
     match e {
-        BodyError::TooLarge => refused(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
-        BodyError::Broken => refused(StatusCode::BAD_REQUEST, "the body did not arrive whole"),
+        BodyError::TooLarge => error_reply(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
+        BodyError::Broken => error_reply(StatusCode::BAD_REQUEST, "the body is incomplete"),
     }
 }
 
@@ -97,16 +100,16 @@
     error: &'a str,
 }
 
-pub(super) fn refused(status: StatusCode, reason: &str) -> Reply {
+pub(super) fn error_reply(status: StatusCode, reason: &str) -> Reply {
     json(status, &Reason { error: reason })
 }
 
 pub(super) fn json(status: StatusCode, body: &impl Serialize) -> Reply {
     let bytes = serde_json::to_vec(body).unwrap_or_default();
-    document(status, bytes.into())
+    json_bytes(status, bytes.into())
 }
 
-pub(super) fn document(status: StatusCode, body: Bytes) -> Reply {
+pub(super) fn json_bytes(status: StatusCode, body: Bytes) -> Reply {
     let mut reply = Response::new(Full::new(body));
     *reply.status_mut() = status;
     let kind = HeaderValue::from_static("application/json");
@@ -115,19 +118,19 @@
 }
 
 pub(super) fn empty(status: StatusCode) -> Reply {
-    document(status, Bytes::from_static(b"{}"))
+    json_bytes(status, Bytes::from_static(b"{}"))
 }
 
-/// A refusal that says when to come back, in whole seconds.
-pub(super) fn come_back(status: StatusCode, after: Duration, reason: &str) -> Reply {
-    let mut reply = refused(status, reason);
+/// An error reply with `Retry-After`, rounded up to whole seconds and at least 1.
+pub(super) fn retry_later(status: StatusCode, after: Duration, reason: &str) -> Reply {
+    let mut reply = error_reply(status, reason);
     let seconds = after.as_secs_f64().ceil().max(1.0) as u64;
     reply.headers_mut().insert(RETRY_AFTER, seconds.into());
     reply
 }
 
 pub(super) fn text(body: String) -> Reply {
-    let mut reply = document(StatusCode::OK, body.into());
+    let mut reply = json_bytes(StatusCode::OK, body.into());
     let kind = HeaderValue::from_static("text/plain; version=0.0.4");
     reply.headers_mut().insert(CONTENT_TYPE, kind);
     reply
--- a/src/platform/jobs.rs
+++ b/src/platform/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers write them.
+//! Parses and validates jobs from callers' JSON, and encodes job states for them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use crate::batch::model::{Grouping, JobSpec, JobState, Lifetime, StepSpec, Timetable};
 use crate::resources::Resources;
 
-/// Longest payload in bytes, as the contract has it.
+/// Longest payload in bytes, set by the platform's contract.
 const MAX_PAYLOAD: usize = 4000;
-/// Most tasks in a step. The contract names none; the largest jobs of the users have 50, and each
-/// task costs 100 bytes on every replica.
+/// Most tasks in a step. The contract sets no limit; the users' largest jobs have 50 tasks, and
+/// each task takes 100 bytes of memory on every replica.
 const MAX_TASKS: u32 = 20_000;
-/// Most steps of a job, for the same reason.
+/// Most steps in a job, limited for the same reason.
 const MAX_STEPS: usize = 200;
-/// Longest time in ms that is taken: a hundred years.
+/// Longest accepted duration in ms: a hundred years.
 const MAX_MS: f64 = 3.2e12;
 
 #[derive(Deserialize)]
@@ -32,12 +32,12 @@
     interval_ms: f64,
 }
 
-/// Fields whose value is zero, false or empty are left out on the wire.
+/// Callers leave out fields whose value is zero, false or empty.
 #[derive(Deserialize)]
 struct StepBody {
     #[serde(default)]
     count: u32,
-    /// Thousandths of a core.
+    /// Millicores.
     #[serde(default)]
     cpu: u32,
     #[serde(default)]
@@ -75,7 +75,7 @@
     may_miss: u32,
 }
 
-/// Reads a job; the error is one sentence for the caller.
+/// Parses and validates a job; the error is one sentence for the caller.
 pub fn decode(body: &[u8]) -> Result<Arc<JobSpec>, String> {
     let job: JobBody = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     if job.spec.len() > MAX_PAYLOAD {
@@ -88,8 +88,8 @@
     let timetable = if job.times > 0 {
         Some(Timetable {
             occurrences: job.times,
-            first: span("start_time_ms", job.start_time_ms)?,
-            interval: span("interval_ms", job.interval_ms)?,
+            first: duration("start_time_ms", job.start_time_ms)?,
+            interval: duration("interval_ms", job.interval_ms)?,
         })
     } else {
         None
@@ -121,7 +121,7 @@
             memory_mb: body.mem_mb,
             accelerators: body.gpu,
         },
-        estimate: span("est_ms", body.est_ms)?,
+        estimate: duration("est_ms", body.est_ms)?,
         after: body.depends_on,
         saves_progress: body.saves_progress,
         grouping: if body.gang {
@@ -140,15 +140,15 @@
             Lifetime::Finite
         },
         image: body.image,
-        latency_target: Some(span("target_ms", body.target_ms)?).filter(|t| !t.is_zero()),
+        latency_target: Some(duration("target_ms", body.target_ms)?).filter(|t| !t.is_zero()),
         fills: body.fills,
         disruption_budget: nonzero(body.may_miss),
     })
 }
 
-fn span(name: &str, ms: f64) -> Result<Duration, String> {
+fn duration(name: &str, ms: f64) -> Result<Duration, String> {
     if !(0.0..=MAX_MS).contains(&ms) {
-        return Err(format!("{name} is not a time"));
+        return Err(format!("{name} is not a valid number of milliseconds"));
     }
     Ok(Duration::from_secs_f64(ms / 1000.0))
 }
--- a/src/platform/minions.rs
+++ b/src/platform/minions.rs
@@ -1,4 +1,4 @@
-//! Calls to minions and to the policy service, and what minions say of themselves.
+//! Calls to minions and to the policy service, and parsers of their answers and of minions' reports.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,12 +23,13 @@
 use crate::ids::Term;
 use crate::resources::Resources;
 
-/// Time for an order to be answered: a round trip across zones takes 2 ms and a minion answers
-/// at once. Orders are idempotent, so the next try may as well begin while this one is slow.
+/// Time for an order to be answered: a round trip across availability zones takes 2 ms, and a
+/// minion answers immediately. Orders are idempotent, so a slow one may safely be retried.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(200);
-/// Time beyond the wait that a hold asks for.
+/// Time for the answer to a hold, in addition to the wait that the hold asks for.
 const HOLD_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time beyond the expected cost of a question; others of the same machine may be before it.
+/// Time for the policy service's answer, in addition to the expected cost of the question: other
+/// questions from the same host may be queued before it.
 const ADVICE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 #[derive(Serialize)]
@@ -74,7 +75,7 @@
 
 #[derive(Deserialize)]
 struct HoldReply {
-    /// Unix time of the minion's start in ms.
+    /// Unix time in ms at which the minion started; absent from minions that don't send it.
     #[serde(default)]
     born: Option<u64>,
     clock_ms: f64,
@@ -84,7 +85,7 @@
     ended: Vec<EndedRow>,
 }
 
-/// Task, run, saved progress, percent, and a rough load.
+/// Row of a running task: task name, run, checkpoint, percent done, and approximate load.
 #[derive(Deserialize)]
 struct RunningRow(
     CompactString,
@@ -94,7 +95,7 @@
     #[serde(default)] f64,
 );
 
-/// Number, task, run, how, saved progress.
+/// Row of an ended run: sequence number, task name, run, how it ended, and checkpoint.
 #[derive(Deserialize)]
 struct EndedRow(u64, CompactString, RunNumber, CompactString, CompactString);
 
@@ -104,7 +105,7 @@
     workers: &'a [CompactString],
 }
 
-/// Speaks to minions over kept connections.
+/// Sends orders and holds to minions over pooled connections.
 #[derive(Clone)]
 pub(super) struct MinionCalls(pub(super) Client);
 
@@ -194,8 +195,8 @@
     }
 }
 
-/// Reads what a minion lists in its answer to a hold; `None` when it is no such answer. A row that
-/// can't be read is left out and counted.
+/// Parses a minion's answer to a hold, its list of running and ended runs; `None` when the body is
+/// not such an answer. Unreadable rows are left out and counted.
 pub fn decode_listing(body: &[u8]) -> Option<Listing> {
     if let Ok(reply) = serde_json::from_slice::<HoldReply>(body) {
         return Some(listing(reply, 0));
@@ -249,14 +250,14 @@
             "stopped" => EndKind::Stopped,
             "broken" => EndKind::Broken,
             "alone" => EndKind::Alone,
-            // Whatever ended it, it runs no more, and no attempt was used up for sure.
+            // The run has ended for an unknown reason; it is not certain that an attempt was used.
             _ => EndKind::Lapsed,
         },
         checkpoint: row.4,
     })
 }
 
-/// Reads a task's name: job, occurrence, step and index, between dots.
+/// Parses a task name: job, occurrence, step and index, separated by dots.
 fn parse_task(name: &str) -> Option<TaskId> {
     let mut parts = name.split('.');
     let step = StepId {
@@ -276,7 +277,7 @@
     span.as_millis() as u64
 }
 
-/// What a daemon on the platform can do for a leader.
+/// The calls that a daemon in platform mode can make on behalf of the leader.
 pub(super) fn calls(boot: &Boot, client: Client) -> Calls<MinionCalls, PolicyCalls> {
     Calls {
         minions: MinionCalls(client.clone()),
@@ -288,7 +289,7 @@
     }
 }
 
-/// Asks the policy service.
+/// Asks the policy service which minions may run a step; without an address it gives no advice.
 #[derive(Clone)]
 pub(super) struct PolicyCalls {
     client: Client,
@@ -313,8 +314,8 @@
     }
 }
 
-/// Reads an answer of the policy service; `None` when it is no such answer. A row that can't be
-/// read lets no minion run the step.
+/// Parses an answer of the policy service; `None` when the body is not such an answer. The minion
+/// of an unreadable row may not run the step.
 pub fn decode_advice(body: &[u8]) -> Option<Advice> {
     let mut body: Value = serde_json::from_slice(body).ok()?;
     body.get("good")?;
@@ -338,7 +339,7 @@
     remaining_ms: Option<f64>,
     #[serde(default)]
     clock_ms: f64,
-    /// Unix time of its start in ms.
+    /// Unix time in ms at which the minion started.
     #[serde(default)]
     born: Option<u64>,
     seq: u64,
@@ -346,7 +347,7 @@
 
 #[derive(Deserialize)]
 struct CapacityBody {
-    /// Thousandths of a core.
+    /// Millicores.
     cpu: u32,
     mem_mb: u32,
     /// Accelerators.
@@ -354,10 +355,10 @@
     gpu: u32,
 }
 
-/// Reads what a minion says of itself; the error is one sentence.
+/// Parses a minion's report of its state; the error is one sentence.
 ///
-/// A report without one of the fields that placement needs comes from a program that is no minion:
-/// with zeros in their place it would be held and called all the same.
+/// A report that lacks a field needed for placement comes from a program that is not a minion. With
+/// zero as a default the scheduler would still send holds and orders to it.
 pub fn decode_report(id: &str, body: &[u8]) -> Result<MinionReport, String> {
     let report: ReportBody = serde_json::from_slice(body).map_err(|e| e.to_string())?;
     let readiness = match report.state.as_str() {
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The adapter to the platform that the scheduler runs on: its settings file, its names on the
-//! wire, its calls. Everything is translated here, and nothing is decided.
+//! Adapter to the platform that the scheduler runs on: its settings file, its JSON formats and its
+//! HTTP calls. It only translates; all scheduling decisions are made elsewhere.
 
 mod client;
 mod config;
--- a/src/platform/operator.rs
+++ b/src/platform/operator.rs
@@ -1,4 +1,4 @@
-//! Calls of operators and minions to control.
+//! HTTP handler of the control daemon, for operators' configuration and minions' reports.
 
 use std::time::Duration;
 
@@ -7,39 +7,41 @@
 use slog::{Logger, info};
 use tokio::time::Instant;
 
-use super::http::{Handler, Reply, body_refused, come_back, document, empty, read_body, refused};
+use super::http::{
+    Handler, Reply, body_error_reply, empty, error_reply, json_bytes, read_body, retry_later,
+};
 use super::{config, minions};
 use crate::batch::calls::{Call, CallReply, OperatorReply, RETRY_AFTER};
 use crate::batch::link::NoAnswer;
 use crate::batch::server::ToLeader;
 
-/// Largest body: the contract's bound on a minion's report; configurations with many routes are
-/// smaller.
+/// Largest accepted body: the platform contract's limit for a minion's report. Configurations with
+/// many routes are smaller.
 const MAX_BODY: usize = 4 * 1024 * 1024;
-/// Callers go on to another daemon after a second.
-const CALL_TIME: Duration = Duration::from_millis(900);
+/// Time for the leader's answer; callers try another daemon after one second.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Answers operators and minions.
+/// Forwards the requests of operators and minions to the leader.
 #[derive(Clone)]
-pub(super) struct ControlFront {
+pub(super) struct ControlHandler {
     pub(super) leader: ToLeader,
     pub(super) log: Logger,
 }
 
-impl Handler for ControlFront {
+impl Handler for ControlHandler {
     async fn handle(&self, req: Request<Incoming>) -> Reply {
-        let deadline = Instant::now() + CALL_TIME;
+        let deadline = Instant::now() + CALL_TIMEOUT;
         let path = req.uri().path().to_owned();
         let parts: Vec<_> = path.trim_matches('/').split('/').collect();
         match (req.method().clone(), parts.as_slice()) {
             (Method::PUT, ["yuccahold", "instances", id]) => {
                 let body = match read_body(req.into_body(), MAX_BODY).await {
                     Ok(body) => body,
-                    Err(e) => return body_refused(e),
+                    Err(e) => return body_error_reply(e),
                 };
                 match minions::decode_report(id, &body) {
                     Ok(report) => self.call(Call::Report(Box::new(report)), deadline).await,
-                    Err(why) => refused(StatusCode::BAD_REQUEST, &why),
+                    Err(why) => error_reply(StatusCode::BAD_REQUEST, &why),
                 }
             }
             (Method::DELETE, ["yuccahold", "instances", id]) => {
@@ -48,43 +50,43 @@
             (Method::PUT, ["yuccahold", "config"]) => {
                 let body = match read_body(req.into_body(), MAX_BODY).await {
                     Ok(body) => body,
-                    Err(e) => return body_refused(e),
+                    Err(e) => return body_error_reply(e),
                 };
                 match config::decode(body) {
                     Ok(order) => {
                         let version = order.version;
                         let reply = self.call(Call::PutConfig(order), deadline).await;
-                        info!(self.log, "configuration answered"; "version" => version,
+                        info!(self.log, "configuration request answered"; "version" => version,
                             "status" => reply.status().as_u16());
                         reply
                     }
                     Err(why) => {
                         info!(self.log, "configuration refused"; "why" => why.as_str());
-                        refused(StatusCode::BAD_REQUEST, &why)
+                        error_reply(StatusCode::BAD_REQUEST, &why)
                     }
                 }
             }
             (Method::GET, ["yuccahold", "config"]) => self.call(Call::GetConfig, deadline).await,
-            _ => refused(StatusCode::NOT_FOUND, "there is nothing at this path"),
+            _ => error_reply(StatusCode::NOT_FOUND, "there is nothing at this path"),
         }
     }
 }
 
-impl ControlFront {
+impl ControlHandler {
     async fn call(&self, call: Call, deadline: Instant) -> Reply {
         match self.leader.call(call, deadline).await {
             Ok(CallReply::Operator(OperatorReply::Accepted)) => empty(StatusCode::OK),
             Ok(CallReply::Operator(OperatorReply::Document(text))) => {
-                document(StatusCode::OK, text)
+                json_bytes(StatusCode::OK, text)
             }
             Ok(CallReply::Operator(OperatorReply::Unavailable))
             | Ok(CallReply::Client(_) | CallReply::NotLeader(_))
-            | Err(NoAnswer::NotSent) => come_back(
+            | Err(NoAnswer::NotSent) => retry_later(
                 StatusCode::SERVICE_UNAVAILABLE,
                 RETRY_AFTER,
                 "no leader can be reached",
             ),
-            Err(NoAnswer::InDoubt) => refused(
+            Err(NoAnswer::InDoubt) => error_reply(
                 StatusCode::GATEWAY_TIMEOUT,
                 "the outcome is not known; send it again",
             ),
--- a/src/platform/rows.rs
+++ b/src/platform/rows.rs
@@ -1,19 +1,20 @@
-//! Rows of lists that other programs wrote, read one by one.
+//! Parses JSON lists from other programs row by row, so that an unreadable row affects only itself.
 
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// Rows that could be read, and the number of the others.
+/// The readable rows of a list, and the number of unreadable ones.
 pub(super) struct Rows<T> {
     pub(super) read: Vec<T>,
     pub(super) unreadable: u32,
 }
 
-/// Reads each row of a list that stands under `name`; a missing list has none. `None` when
-/// something else than a list stands there.
+/// Parses each row of the list under the key `name`; a missing or null list has no rows. `None`
+/// when the value is not a list.
 ///
-/// One row of an unknown shape would otherwise cost all rows beside it: every end on a minion
-/// would stay unseen, or every ticket of a step be lost, for as long as the row is listed.
+/// Otherwise a single unreadable row would make the whole list unreadable for as long as the row is
+/// listed: the ends of all runs on a minion would go unnoticed, or a step would lose all its
+/// tickets.
 pub(super) fn rows<T: DeserializeOwned>(body: &mut Value, name: &str) -> Option<Rows<T>> {
     let mut rows = Rows {
         read: Vec::new(),
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform writes for each process: lines of `name=value`.
+//! Settings file that the platform writes for each process: lines of `key=value`.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -8,54 +8,55 @@
 use crate::batch::dispatch::{DispatchConfig, Mechanisms};
 use crate::ids::ZoneName;
 
-/// Environment variable that names the file.
+/// Environment variable with the path of the settings file.
 pub(super) const PATH_VARIABLE: &str = "YUCCAHOLD_BOOT";
-/// Where each process serves its metrics; `deploy/system.toml` names the same.
+/// Port on which each process serves its metrics; `deploy/system.toml` has the same number.
 pub(super) const METRICS_PORT: u16 = 9464;
 pub(super) const METRICS_PATH: &str = "/metrics";
-/// Ports of the range given to daemons: replicas of the log, and calls to the leader.
+/// Offset in the daemons' port range of the port for replication between control daemons.
 const REPLICA_PORT: u16 = 0;
+/// Offset in the daemons' port range of the port for calls to the leader.
 const CALL_PORT: u16 = 1;
 
-/// All that is wrong with a settings file, one sentence a key.
+/// All problems of a settings file, one sentence for each.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the settings are refused: {}", .0.join("; "))]
 pub struct BootProblems(pub Vec<String>);
 
-/// Settings of one process.
+/// Settings of one daemon process in platform mode.
 #[derive(Clone, Debug)]
 pub struct Boot {
-    /// Name of the machine.
+    /// Name of the host.
     pub node: String,
-    /// Address of the machine.
+    /// Address of the host, on which the daemon listens for replicas, leader calls and metrics.
     pub ip: IpAddr,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: ZoneName,
-    /// Where callers' connections arrive.
+    /// Listening address for callers; needed by the entry daemon.
     pub front: Option<SocketAddr>,
-    /// Where the balancer asks whether to send connections.
+    /// Listening address for the load balancer's readiness checks; needed by the entry daemon.
     pub ready: Option<SocketAddr>,
-    /// Where minions and operators call.
+    /// Listening address for minions and operators; needed by the control daemon.
     pub control: Option<SocketAddr>,
-    /// First port for traffic between daemons; the same on all machines.
+    /// First port for traffic between daemons; the same on all hosts.
     first_port: u16,
-    /// Machines that serve control, as known when the file was written.
+    /// Control daemons that existed when the file was written. Only their IP addresses are used.
     seeds: Vec<SocketAddr>,
-    /// Entries among the seeds that are no addresses.
+    /// Seeds that are not valid addresses, as they stand in the file.
     pub unreadable_seeds: Vec<String>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system starts for the first time and has to form a replication group.
     pub first_start: bool,
-    /// Folder for files that survive.
+    /// Folder for files that persist over restarts; needed by the control daemon.
     pub data: Option<PathBuf>,
-    /// The policy service about placement, if there is one.
+    /// The policy service that decides which minions may run a step; absent when there is none.
     pub policy: Option<SocketAddr>,
-    /// Time between SIGTERM and the end of the process.
+    /// Time between SIGTERM and SIGKILL.
     pub grace: Duration,
-    /// Bounds that the dispatcher needs.
+    /// Time limits for the dispatcher. The file sets them; mechanisms are set by the command line.
     pub dispatch: DispatchConfig,
 }
 
-/// Reads values and gathers what is wrong with them.
+/// Parses values and collects the problems found, so that all of them are reported at once.
 struct Reader {
     values: BTreeMap<String, String>,
     problems: Vec<String>,
@@ -72,17 +73,17 @@
         }
     }
 
-    fn parsed<T: std::str::FromStr>(&mut self, key: &str, otherwise: T) -> T
+    fn parsed<T: std::str::FromStr>(&mut self, key: &str, default: T) -> T
     where
         T::Err: std::fmt::Display,
     {
         let text = self.text(key);
         if text.is_empty() {
-            return otherwise;
+            return default;
         }
         text.parse().unwrap_or_else(|e| {
             self.problems.push(format!("{key}={text:?}: {e}"));
-            otherwise
+            default
         })
     }
 
@@ -100,27 +101,28 @@
         }
     }
 
-    /// A span of time; `unit` is the length of one in the file.
-    fn span(&mut self, key: &str, unit: Duration) -> Duration {
+    /// Parses a required duration; `unit` is the unit of the number in the file.
+    fn duration(&mut self, key: &str, unit: Duration) -> Duration {
         let number: f64 = self.parsed(key, 0.0);
         if !number.is_finite() || !(0.0..1e9).contains(&number) {
             self.problems
-                .push(format!("{key}={number}: not a span of time"));
+                .push(format!("{key}={number}: not a valid duration"));
             return Duration::ZERO;
         }
         unit.mul_f64(number)
     }
 
-    /// A span of time, or another one where the file has none.
-    fn optional_span(&mut self, key: &str, unit: Duration, otherwise: Duration) -> Duration {
+    /// Parses a duration; `default` applies when the file has none.
+    fn optional_duration(&mut self, key: &str, unit: Duration, default: Duration) -> Duration {
         if self.values.get(key).is_none_or(String::is_empty) {
-            return otherwise;
+            return default;
         }
-        self.span(key, unit)
+        self.duration(key, unit)
     }
 
-    /// Addresses, and the entries that are none. One that can't be read names nobody, and the
-    /// others hold: a daemon that refused its settings for it would not start at all.
+    /// Parses a comma-separated list into addresses and unreadable entries. Unreadable entries are
+    /// no problem as long as one address is left: a daemon that refused its settings because of one
+    /// of them would not start at all.
     fn addresses(&mut self, key: &str) -> (Vec<SocketAddr>, Vec<String>) {
         let text = self.text(key);
         let mut addrs = Vec::new();
@@ -138,29 +140,30 @@
     }
 }
 
-/// Time that a stopped run is taken to go on where the file doesn't say: above the longest that a
-/// platform has named so far, so that room is not expected too early.
+/// Assumed time from a stop order to the end of the run when the file doesn't set it. It is longer
+/// than any value that a platform has set so far, so that the run's resources are not expected to be
+/// free too early.
 const STOP_TIME: Duration = Duration::from_secs(1);
 const MILLISECOND: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
-const NOWHERE: IpAddr = IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED);
+const NO_IP: IpAddr = IpAddr::V4(std::net::Ipv4Addr::UNSPECIFIED);
 
 impl Boot {
-    /// Reads the file that the environment names.
+    /// Loads the file named by `YUCCAHOLD_BOOT`.
     pub fn from_environment() -> Result<Self, BootProblems> {
         let path = std::env::var_os(PATH_VARIABLE)
             .ok_or_else(|| BootProblems(vec![format!("{PATH_VARIABLE} is not set")]))?;
         Self::load(Path::new(&path))
     }
 
-    /// Reads a file.
+    /// Loads and parses a settings file.
     pub fn load(path: &Path) -> Result<Self, BootProblems> {
         let text = std::fs::read_to_string(path)
             .map_err(|e| BootProblems(vec![format!("{}: {e}", path.display())]))?;
         Self::parse(&text)
     }
 
-    /// Reads the text of a file. Names it does not know are passed over.
+    /// Parses the text of a settings file. Unknown keys are ignored.
     pub fn parse(text: &str) -> Result<Self, BootProblems> {
         let mut r = Reader {
             values: BTreeMap::new(),
@@ -184,7 +187,7 @@
         let (seeds, unreadable_seeds) = r.addresses("seeds");
         let boot = Self {
             node: r.text("node"),
-            ip: r.parsed("ip", NOWHERE),
+            ip: r.parsed("ip", NO_IP),
             zone: r.text("zone").into(),
             front: r.optional("listen.front"),
             ready: r.optional("listen.ready"),
@@ -195,11 +198,11 @@
             first_start: r.parsed("bootstrap", false),
             data: r.optional("data_dir"),
             policy: r.optional("advice"),
-            grace: r.span("bounds.grace_s", SECOND),
+            grace: r.duration("bounds.grace_s", SECOND),
             dispatch: DispatchConfig {
-                lease_max: r.span("bounds.hold_max_ms", MILLISECOND),
-                stop_time: r.optional_span("bounds.stop_ms", MILLISECOND, STOP_TIME),
-                restore_time: r.optional_span("bounds.restore_ms", MILLISECOND, Duration::ZERO),
+                lease_max: r.duration("bounds.hold_max_ms", MILLISECOND),
+                stop_time: r.optional_duration("bounds.stop_ms", MILLISECOND, STOP_TIME),
+                restore_time: r.optional_duration("bounds.restore_ms", MILLISECOND, Duration::ZERO),
                 mechanisms: Mechanisms::default(),
             },
         };
@@ -214,27 +217,27 @@
         self.first_port + offset
     }
 
-    /// Where this process listens for other replicas.
+    /// Address on which this process listens for other replicas.
     pub(super) fn replica_addr(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.port(REPLICA_PORT))
     }
 
-    /// Where this process answers calls to the leader.
+    /// Address on which this process takes calls to the leader.
     pub(super) fn call_addr(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.port(CALL_PORT))
     }
 
-    /// Where this process serves its metrics.
+    /// Address on which this process serves its metrics.
     pub(super) fn metrics_addr(&self) -> SocketAddr {
         SocketAddr::new(self.ip, METRICS_PORT)
     }
 
-    /// Where the seeds listen for other replicas.
+    /// Addresses on which the seeds listen for other replicas.
     pub(super) fn seed_replicas(&self) -> Vec<SocketAddr> {
         self.seeds_at(REPLICA_PORT)
     }
 
-    /// Where the seeds answer calls to the leader.
+    /// Addresses on which the seeds take calls to the leader.
     pub(super) fn seed_calls(&self) -> Vec<SocketAddr> {
         self.seeds_at(CALL_PORT)
     }
@@ -247,8 +250,8 @@
             .collect()
     }
 
-    /// Whether this machine is the one that forms the group at the very first start. All start
-    /// with the same seeds, so exactly one machine finds itself to be the least of them.
+    /// Whether this host forms the replication group at the system's first start. All hosts start
+    /// with the same seeds, so exactly one of them has the lowest address and forms the group.
     pub(super) fn forms_group(&self) -> bool {
         self.first_start && self.seeds.iter().map(SocketAddr::ip).min() == Some(self.ip)
     }
