--- a/src/wire/auth.rs
+++ b/src/wire/auth.rs
@@ -1,24 +1,24 @@
-//! Proof that a peer belongs to the cell: keyed hashes over fresh challenges and every frame.
+//! Authentication of peers by a shared cell key: keyed hashes over fresh nonces and over each frame.
 
 use std::path::Path;
 
 use crate::error::{Error, Result, Step};
 
-/// First bytes of a key's hash; names a key without showing it.
+/// First bytes of a hash under the key; identifies a key without revealing it.
 pub type KeyId = [u8; 8];
 
-/// Bytes of the authentication code that ends each frame.
+/// Length in bytes of the authentication tag at the end of each frame.
 pub(crate) const TAG_LEN: usize = 16;
 
-/// Random bytes that each side contributes to a connection's keys.
+/// Random bytes that each side contributes to the session keys of a connection.
 pub(crate) type Nonce = [u8; 32];
 
-/// One secret shared by the daemons of a cell.
+/// Secret shared by the daemons of a cell.
 #[derive(Clone, PartialEq, Eq)]
 pub struct CellKey([u8; 32]);
 
 impl CellKey {
-    /// Derives the key from the text of a key file's line.
+    /// Derives the key from a line of a key file, without surrounding white space.
     pub fn from_text(text: &str) -> Self {
         Self(blake3::derive_key(
             "yuccahold 2026-12 cell key",
@@ -26,7 +26,7 @@
         ))
     }
 
-    /// The public name of this key.
+    /// Public id of this key, sent in the handshake so that the server can select the key.
     pub fn id(&self) -> KeyId {
         let hash = blake3::keyed_hash(&self.0, b"key id");
         let mut id = KeyId::default();
@@ -34,9 +34,9 @@
         id
     }
 
-    /// Derives the key of one direction of one connection.
+    /// Derives the session key of one direction of one connection.
     ///
-    /// Both nonces go in, so a frame recorded on one connection is refused on every other.
+    /// It depends on both nonces, so a frame recorded on one connection is refused on any other.
     pub(crate) fn session(&self, client: &Nonce, server: &Nonce, direction: u8) -> SessionKey {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hasher.update(client).update(server).update(&[direction]);
@@ -53,15 +53,15 @@
     }
 }
 
-/// The keys a daemon accepts. The first is used for new connections.
+/// The keys that a daemon accepts. Outgoing connections use the first one.
 #[derive(Clone, Debug)]
 pub struct CellKeys(Vec<CellKey>);
 
 impl CellKeys {
-    /// Most keys valid at once: the old and the new one during a change.
+    /// Most keys valid at the same time: the old and the new one during a key rotation.
     pub const MAX: usize = 2;
 
-    /// Takes one or two keys.
+    /// Fails unless there are one or two keys.
     pub fn new(keys: impl IntoIterator<Item = CellKey>) -> Result<Self> {
         let keys: Vec<_> = keys.into_iter().collect();
         if keys.is_empty() || keys.len() > Self::MAX {
@@ -71,7 +71,7 @@
         Ok(Self(keys))
     }
 
-    /// Reads a key file: one key a line, blank lines and `#` comments passed over.
+    /// Reads a key file with one key per line; blank lines and `#` comments are skipped.
     pub fn load(path: &Path) -> Result<Self> {
         let text = std::fs::read_to_string(path)
             .map_err(|e| Error::caused(Step::Settings, "reading the cell key", e))
@@ -90,14 +90,15 @@
     }
 }
 
-/// Key of one direction, with the number of the next frame.
+/// Session key of one direction, with the sequence number of the next frame.
 pub(crate) struct SessionKey {
     key: [u8; 32],
     sequence: u64,
 }
 
 impl SessionKey {
-    /// Computes the next frame's tag. The counter makes a repeated or dropped frame fail.
+    /// Computes the next frame's tag and advances the sequence number. As the tag covers the number,
+    /// a repeated or dropped frame is detected.
     pub(crate) fn next_tag(&mut self, payload: &[u8]) -> [u8; TAG_LEN] {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher.update(&self.sequence.to_le_bytes()).update(payload);
@@ -107,7 +108,7 @@
         tag
     }
 
-    /// Checks the next frame's tag in constant time.
+    /// Checks the next frame's tag in constant time and advances the sequence number.
     pub(crate) fn accepts(&mut self, payload: &[u8], tag: &[u8; TAG_LEN]) -> bool {
         let expected = self.next_tag(payload);
         let difference = expected
--- a/src/wire/calls.rs
+++ b/src/wire/calls.rs
@@ -1,5 +1,5 @@
-//! Calls from entry hosts to control: requests by id over one multiplexed connection, and the
-//! feed of document and ownership that flows back.
+//! Messages between entry hosts and control: calls and answers matched by id on one multiplexed
+//! connection, and the feed of the document and of minion ownership that control sends back.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 use crate::slo::BurnDelta;
 use crate::workload::{RunEnd, TaskRun, WorkerSpec};
 
-/// Number that matches an answer to its call on one connection.
+/// Number that matches an answer to its call; unique on one connection.
 pub type CallId = u64;
 
 /// What an entry host sends to control.
@@ -26,11 +26,11 @@
 pub enum ToControl {
     /// First message on each connection.
     Hello(EntryHello),
-    /// A call that wants one answer.
+    /// A call, which gets exactly one answer unless the connection fails.
     Call {
-        /// Matches the answer.
+        /// Repeated in the answer.
         id: CallId,
-        /// What is asked.
+        /// The request itself.
         call: Call,
     },
 }
@@ -40,67 +40,68 @@
 pub enum FromControl {
     /// Answer to one call.
     Answer {
-        /// The call's number.
+        /// Id of the call.
         id: CallId,
-        /// What came of it.
+        /// The call's result.
         answer: Answer,
     },
-    /// State the entry host must hold, sent first on each connection by a confirmed leader.
+    /// Full state for the entry host; a confirmed leader sends it first on each connection.
     Feed(Feed),
-    /// What changed in that state since the message before on the same connection.
+    /// Changes to that state since the previous `Feed` or `Change` on the same connection.
     Change(Box<FeedDelta>),
 }
 
-/// An entry host's introduction of itself.
+/// Identity of an entry host, sent when it connects.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryHello {
-    /// Its name.
+    /// Name of the entry host, unique in the cell.
     pub entry: EntryId,
-    /// Its process; a new one after each restart.
+    /// Id of its process; changes with each restart.
     pub process: ProcessId,
-    /// Its availability zone.
+    /// Availability zone that it runs in.
     pub zone: ZoneName,
-    /// Where other entry hosts reach it.
+    /// Address for requests that other entry hosts forward.
     pub peer_addr: SocketAddr,
-    /// Document revision it holds.
+    /// Document revision it holds; the feed leaves this document out.
     pub in_force: Revision,
 }
 
-/// One call.
+/// A call from an entry host, on its own behalf or for a minion, worker, caller or operator.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Call {
-    /// Renews the entry host's lease, counted by it from the moment it sent this, and reports.
+    /// Renews the entry host's lease, which it counts from the moment it sent this call, and
+    /// reports its state.
     Renew(EntryReport),
-    /// A minion announced itself or renewed its announcement.
+    /// Registers a minion or renews its registration.
     AnnounceMinion(MinionAnnouncement),
-    /// A minion leaves as planned.
+    /// A minion shuts down as planned.
     LeaveMinion(MinionId),
-    /// A worker asks for its lease and its tasks.
+    /// A worker renews its lease and asks for its tasks.
     PollWorker(WorkerPoll),
     /// A caller submits a job.
     SubmitJob(JobSubmission),
-    /// A caller or operator asks about a job.
+    /// A caller or operator queries a job.
     QueryJob(JobName),
     /// A caller or operator cancels a job.
     CancelJob(JobName),
     /// Reserves an idempotency key before a non-idempotent request starts.
     ClaimKey(KeyClaim),
-    /// Records what became of a claimed key.
+    /// Records the outcome of the request under a claimed key.
     SettleKey(KeySettlement),
-    /// Counts against the objectives since the last such call that was answered.
+    /// Events counted for the service level objectives since the last answered call of this kind.
     Burn(BurnDelta),
-    /// An operator's HTTP request, carried to the leader as it is.
+    /// An operator's HTTP request, forwarded to the leader unchanged.
     Http(HttpCall),
 }
 
 /// Answer to one call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Answer {
-    /// Done; nothing else to say.
+    /// The call took effect and has no result.
     Ok,
-    /// The lease is renewed for this long from the moment the call was sent.
+    /// The lease is renewed for this time, counted from the moment the call was sent.
     Lease(Duration),
-    /// Tasks a worker must run, everything else it must stop.
+    /// A worker's lease, and the runs that it must start and stop.
     Tasks(WorkerTasks),
     /// A job's state.
     Job(JobView),
@@ -110,235 +111,239 @@
     Http(HttpAnswer),
     /// Refused; nothing was changed.
     Refused(Refusal),
-    /// This replica does not lead; ask there. Nothing was changed.
+    /// This replica is not the leader; nothing was changed. Contains the leader's address when this
+    /// replica has one.
     NotLeader(Option<SocketAddr>),
-    /// Leadership was lost on the way; the call may or may not have taken effect.
+    /// Leadership was lost during the call, which may or may not have taken effect.
     Unknown,
 }
 
 /// Why a call was refused. Nothing was changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Kind of refusal; decides the HTTP status.
+    /// Determines the HTTP status.
     pub kind: RefusalKind,
-    /// A sentence for the caller.
+    /// One sentence for the caller.
     pub message: String,
-    /// When to come back, if it makes sense to.
+    /// Time after which a retry may succeed; absent when no time is suggested.
     pub retry_after: Option<Duration>,
 }
 
-/// Kinds of refusal.
+/// Reason class of a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusalKind {
-    /// No such thing.
+    /// The named object does not exist.
     NotFound,
-    /// The request makes no sense.
+    /// The request is malformed or contradicts itself.
     Invalid,
-    /// It clashes with what is there.
+    /// The request conflicts with existing state.
     Conflict,
-    /// The key or name is older than what is kept.
+    /// The key or name is older than the retained history.
     Expired,
-    /// Too much at once.
+    /// A rate or size limit is exceeded.
     Overloaded,
 }
 
-/// What an entry host reports with its lease.
+/// State that an entry host reports when it renews its lease.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryReport {
-    /// Document revision in force.
+    /// Document revision in use.
     pub in_force: Revision,
-    /// Minions the entry host has given up after its last request there ended; repeated until
-    /// the feed names another owner or none.
+    /// Minions that the entry host has released, after its last request there ended; repeated
+    /// until the feed names another owner or none.
     pub released: Vec<MinionId>,
-    /// The entry host stops as planned: it wants no minion.
+    /// The entry host shuts down as planned and must not be assigned minions.
     pub leaving: bool,
 }
 
-/// A minion's announcement.
+/// Registration of a minion, which expires unless it is renewed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MinionAnnouncement {
-    /// Its name.
+    /// Name of the minion, unique in the cell.
     pub id: MinionId,
-    /// Its process; another one under the same name replaces the old.
+    /// Id of its process; a new process under the same name replaces the old one.
     pub process: ProcessId,
-    /// Service it answers.
+    /// Service whose requests it handles.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address on which it takes requests.
     pub addr: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone that it runs in.
     pub zone: ZoneName,
-    /// Requests it works on at once.
+    /// Most requests in work at the same time.
     pub slots: u32,
-    /// Connections it accepts.
+    /// Most open connections.
     pub connections: u32,
-    /// Time after which the announcement lapses if it is not renewed.
+    /// Time after which the announcement expires unless it is renewed.
     pub ttl: Duration,
 }
 
-/// Everything an entry host holds on behalf of control.
+/// State that control maintains at every entry host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Feed {
-    /// Revision of the document; 0 before the first.
+    /// Revision of the document; 0 before the first document.
     pub revision: Revision,
-    /// The document, only when it differs from what the entry host holds.
+    /// The document; absent when the entry host already holds this revision.
     pub document: Option<Arc<Document>>,
-    /// Entry hosts alive.
+    /// Entry hosts that are not shutting down, the receiver included.
     pub entries: BTreeMap<EntryId, PeerEntry>,
-    /// Minions and their owners.
+    /// All announced minions, with their owners.
     pub minions: BTreeMap<MinionId, OwnedMinion>,
 }
 
-/// Another entry host.
+/// An entry host as other entry hosts reach it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerEntry {
-    /// Its availability zone.
+    /// Availability zone that it runs in.
     pub zone: ZoneName,
-    /// Where it takes forwarded requests.
+    /// Address on which it takes forwarded requests.
     pub peer_addr: SocketAddr,
-    /// Its process.
+    /// Id of its process; changes with each restart.
     pub process: ProcessId,
 }
 
-/// A minion with its owner.
+/// A minion and the entry host that may send it requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnedMinion {
     /// The minion as announced.
     pub minion: MinionAnnouncement,
-    /// Entry host that may use it; none while an earlier owner's lease runs out.
+    /// The only entry host that may use the minion; `None` until a previous owner's lease has
+    /// expired.
     pub owner: Option<EntryId>,
-    /// Number of this ownership; grows with each change of owner.
+    /// Number of this ownership; increases with each change of owner.
     pub epoch: u64,
-    /// The minion leaves: no new request.
+    /// The minion shuts down or has stopped reporting: it must get no new requests.
     pub leaving: bool,
-    /// The owner must finish what it has in flight there, start nothing new and report the
-    /// minion as released, so that another entry host can take it over.
+    /// The owner must finish its requests in flight at the minion, start no new ones and then
+    /// report the minion as released, so that another entry host can take over.
     pub release: bool,
-    /// The owner before was lost: its requests may still be in work at the minion.
+    /// The previous owner's lease expired: its requests may still be in work at the minion.
     pub lapsed: bool,
 }
 
-/// An operator's HTTP request on its way to the leader.
+/// An operator's HTTP request, forwarded to the leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HttpCall {
-    /// Method, such as `GET`.
+    /// Method in capitals, such as `GET`.
     pub method: CompactString,
     /// Path with query.
     pub path: String,
-    /// Headers; values that are no text are left out.
+    /// Headers; those with values that are not text are left out.
     pub headers: Vec<(CompactString, String)>,
-    /// Body.
+    /// Whole body; empty when there is none.
     pub body: Vec<u8>,
 }
 
 /// The leader's answer to an operator's HTTP request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HttpAnswer {
-    /// Status.
+    /// Status code.
     pub status: u16,
-    /// Headers.
+    /// Headers set by the leader.
     pub headers: Vec<(CompactString, String)>,
-    /// Body.
+    /// Whole body; empty when there is none.
     pub body: Vec<u8>,
 }
 
 /// A worker's long poll.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerPoll {
-    /// The worker as it announces itself.
+    /// Name, location and capacity of the worker.
     pub worker: WorkerSpec,
-    /// Its process; another one under the same name runs nothing of the old.
+    /// Id of its process; a new process under the same name runs none of the old one's runs.
     pub process: ProcessId,
-    /// Grows with each poll of one process. A poll with a number not above the last one seen
-    /// was overtaken on the way: its list of runs is out of date and must not be believed.
+    /// Increases with each poll of one process. A poll whose number is not above the last one seen
+    /// was overtaken by a later poll: its list of runs is out of date and must be ignored.
     pub sequence: u64,
-    /// Number of the list of runs; grows with each change of the list.
+    /// Version of the list of runs; increases with each change of the list.
     #[serde(default)]
     pub list: u64,
-    /// Whether the list is left out because an answered poll carried the same one before.
+    /// Whether the list is left out because an earlier, answered poll carried the same version.
     #[serde(default)]
     pub unchanged: bool,
-    /// Every run the worker holds at this moment, unless the list is left out.
+    /// All runs that the worker holds at this moment; empty when the list is left out.
     pub running: Vec<TaskRun>,
     /// Runs that ended since the last answered poll; repeated until acknowledged.
     pub ended: Vec<EndedRun>,
-    /// Usage measured per run: millicores and megabytes.
+    /// Measured resource usage of each run.
     pub usage: Vec<RunUsage>,
-    /// How long the answer may be held back while there is no news.
+    /// Longest time for which the answer may be delayed while there is nothing to report.
     pub wait: Duration,
-    /// The worker leaves as planned.
+    /// The worker shuts down as planned.
     pub leaving: bool,
 }
 
-/// A run that ended.
+/// A worker's report of a run that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedRun {
-    /// The run.
+    /// Task and attempt.
     pub run: TaskRun,
-    /// How it ended.
+    /// How the run ended.
     pub end: RunEnd,
 }
 
-/// Usage of one run.
+/// Measured resource usage of one run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunUsage {
-    /// The run.
+    /// Task and attempt.
     pub run: TaskRun,
-    /// Thousandths of a core.
+    /// CPU usage in thousandths of a core.
     pub millicores: u32,
-    /// Megabytes.
+    /// Memory usage in megabytes.
     pub memory_mb: u32,
 }
 
-/// Answer to a poll.
+/// Answer to a worker's poll.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerTasks {
-    /// Lease, counted by the worker from the moment it sent the poll.
+    /// Length of the lease, counted by the worker from the moment it sent the poll.
     pub lease: Duration,
-    /// Runs to start now. A run the worker said it holds is not named again; it goes on.
+    /// Runs to start now. Runs that the worker reported as running are not listed again; they
+    /// continue.
     pub assigned: Vec<AssignedRun>,
-    /// Runs to checkpoint or stop.
+    /// Runs to checkpoint, throttle or stop.
     pub stop: Vec<StopRun>,
-    /// Ended runs control has recorded; the worker may forget them.
+    /// Ended runs that control has recorded; the worker need not report them again.
     pub acknowledged: Vec<TaskRun>,
-    /// Control does not hold the list that was left out: the next poll must carry it.
+    /// Control does not have the list of runs that the poll left out; the next poll must include
+    /// it.
     #[serde(default)]
     pub send_list: bool,
 }
 
-/// A run a worker must hold.
+/// A run that a worker must start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AssignedRun {
-    /// The run.
+    /// Task and attempt.
     pub run: TaskRun,
-    /// Job kind.
+    /// Job kind declared in the document.
     pub kind: KindName,
-    /// Opaque text of the job.
+    /// The job's payload, passed to the task unchanged.
     pub payload: CompactString,
-    /// What is granted: the declared need, or more where more was learnt.
+    /// Granted resources: the declared need, or more when runs of this kind have used more.
     pub need: crate::resources::Resources,
-    /// Whether the run may continue when the worker's lease lapses.
+    /// Whether the run may continue after the worker's lease has expired.
     pub keep_without_lease: bool,
-    /// Declared run time; a fake worker runs for this long.
+    /// Declared run time; a simulated worker runs the task for this time.
     pub run_time: Duration,
 }
 
-/// A run that must end.
+/// A run that must be checkpointed, throttled or stopped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StopRun {
-    /// The run.
+    /// Task and attempt.
     pub run: TaskRun,
-    /// Whether to save state first.
+    /// What the worker must do with the run.
     pub how: StopKind,
 }
 
-/// How a run must end.
+/// What a worker must do with a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StopKind {
-    /// Save state, then stop.
+    /// Save a checkpoint, then stop.
     Checkpoint,
-    /// Use less.
+    /// Reduce resource usage and continue.
     Throttle,
-    /// Stop now.
+    /// Stop without a checkpoint.
     Stop,
 }
 
@@ -346,40 +351,40 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct JobSubmission {
-    /// Name; made from the key when absent.
+    /// Name of the job; derived from the key when absent.
     pub name: Option<JobName>,
     /// Kind declared in the document.
     pub kind: KindName,
-    /// Team, when it differs from the kind's.
+    /// Team; the kind's team when absent.
     pub team: Option<TeamName>,
-    /// Number of tasks, when it differs from the kind's.
+    /// Number of tasks; the kind's number when absent.
     pub tasks: Option<u32>,
-    /// Opaque text handed to the worker.
+    /// Text passed to the worker unchanged.
     pub payload: CompactString,
-    /// A resend under the same key gets the first answer.
+    /// Idempotency key: a repeated submission under the same key gets the first one's answer.
     pub key: Option<IdempotencyKey>,
 }
 
-/// State of a job as a whole.
+/// State of a job, derived from its tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum JobPhase {
-    /// No task runs yet.
+    /// No task has started yet.
     #[default]
     Waiting,
-    /// Some task runs or has run.
+    /// At least one task runs or has run.
     Running,
     /// All tasks are done.
     Done,
-    /// Given up after its attempts, or by rule.
+    /// Given up after the last attempt, or because a rule of the kind says so.
     Failed,
-    /// Cancelled; tasks that had not started never will.
+    /// Cancelled; tasks that had not started will not start.
     Cancelled,
     /// A non-idempotent task may have run and will not be started again.
     Unknown,
 }
 
 impl JobPhase {
-    /// The state in a word.
+    /// Lower-case name for display.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
@@ -391,101 +396,101 @@
         }
     }
 
-    /// Whether nothing of the job runs or will run.
+    /// Whether no task of the job runs or will run again.
     pub const fn is_over(self) -> bool {
         !matches!(self, Self::Waiting | Self::Running)
     }
 }
 
-/// A job as a caller sees it.
+/// State of a job as shown to callers and operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
-    /// Its name.
+    /// Name of the job.
     pub name: JobName,
-    /// Its kind.
+    /// Kind declared in the document.
     pub kind: KindName,
-    /// Its team.
+    /// Team whose quota the job uses.
     pub team: TeamName,
-    /// Its state.
+    /// State derived from the tasks counted below.
     pub phase: JobPhase,
-    /// Tasks in all.
+    /// Total number of tasks.
     pub tasks: u32,
-    /// Tasks that wait.
+    /// Number of tasks that wait to be placed.
     pub waiting: u32,
-    /// Tasks that run.
+    /// Number of tasks that run.
     pub running: u32,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Tasks given up.
+    /// Number of tasks given up.
     pub failed: u32,
-    /// Tasks whose outcome is not known.
+    /// Number of tasks that may have run and are not started again.
     pub unknown: u32,
-    /// Starts of all tasks together.
+    /// Number of runs started, over all tasks.
     pub starts: u32,
-    /// Time from arrival to the first start.
+    /// Time from submission to the first start; absent before that.
     pub waited: Option<Duration>,
-    /// Why it waits now, in one sentence with figures; empty when it does not.
+    /// Why the job waits, in one sentence with figures; empty when it does not wait.
     pub reason: String,
-    /// Workers that run its tasks.
+    /// Workers on which its tasks run now.
     pub workers: Vec<WorkerId>,
 }
 
 /// A claim on an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyClaim {
-    /// Service the request is for.
+    /// Service that the request is for; keys of different services are independent.
     pub service: ServiceName,
-    /// The caller's key.
+    /// Key sent by the caller.
     pub key: IdempotencyKey,
-    /// Hash of method, path and body; another request under the same key is refused.
+    /// Hash of method, path and body; a different request under the same key is refused.
     pub digest: [u8; 16],
-    /// Entry host and process that will run it.
+    /// Entry host that claims the key and will run the request.
     pub entry: EntryId,
     /// Process of that entry host.
     pub process: ProcessId,
-    /// Whether the request may run again when it is lost with its entry host.
+    /// Whether the request may run again when its entry host is lost.
     pub idempotent: bool,
 }
 
-/// What became of a claimed key.
+/// Outcome of the request under a claimed key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeySettlement {
-    /// Service.
+    /// Service of the claim.
     pub service: ServiceName,
-    /// The caller's key.
+    /// Key sent by the caller.
     pub key: IdempotencyKey,
-    /// Entry host that claimed it.
+    /// Entry host that claimed the key.
     pub entry: EntryId,
-    /// Process that claimed it; the word of another one changes nothing.
+    /// Process that claimed the key; a settlement by any other process is ignored.
     pub process: ProcessId,
-    /// What happened.
+    /// New state of the key.
     pub state: KeyState,
 }
 
 /// State of an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum KeyState {
-    /// The claim succeeded: the caller of this call runs the request.
+    /// The claim succeeded: the entry host that sent it runs the request.
     Claimed,
-    /// Another entry host is running it.
+    /// This entry host is running the request.
     InProgress(EntryId),
-    /// It ran; this is the answer.
+    /// The request ran and got this answer.
     Done(StoredAnswer),
-    /// It may have run and will not be run again.
+    /// The request may have run and will not be run again.
     Unknown,
-    /// It is proved that nothing ran; the key is free again.
+    /// It is certain that the request did not run; the key is free again.
     NotRun,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     Mismatch,
 }
 
-/// An answer kept for resends.
+/// An answer stored for repeated requests under the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredAnswer {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Content type.
+    /// Value of the `Content-Type` header.
     pub content_type: CompactString,
-    /// Body; absent when it was over the stored limit.
+    /// Body; absent when it was larger than the limit for stored answers.
     pub body: Option<Vec<u8>>,
 }
--- a/src/wire/connection.rs
+++ b/src/wire/connection.rs
@@ -1,4 +1,4 @@
-//! One authenticated connection: the handshake, then length-prefixed frames with a tag each.
+//! Authenticated connections: a handshake, then length-prefixed frames that each end in a tag.
 
 use std::time::Duration;
 
@@ -12,11 +12,12 @@
 use super::{MAX_FRAME, WIRE_VERSION};
 use crate::error::{Error, Result, Step};
 
+/// Length in bytes of a hello: wire version, key id and nonce.
 const HELLO_LEN: usize = 2 + 8 + 32;
 const TO_SERVER: u8 = 0;
 const TO_CLIENT: u8 = 1;
 
-/// Receiving half of a connection.
+/// Receiving half of an authenticated connection.
 pub struct FrameReader {
     stream: BufReader<ReadHalf<TcpStream>>,
     key: SessionKey,
@@ -24,7 +25,7 @@
     received: metrics::Counter,
 }
 
-/// Sending half of a connection.
+/// Sending half of an authenticated connection.
 pub struct FrameWriter {
     stream: WriteHalf<TcpStream>,
     key: SessionKey,
@@ -33,7 +34,7 @@
     sent: metrics::Counter,
 }
 
-/// Connects to a peer and proves membership of the cell.
+/// Connects to a peer and runs the client side of the handshake.
 pub async fn connect(
     addr: std::net::SocketAddr,
     keys: &CellKeys,
@@ -44,25 +45,25 @@
     split_client(stream, keys).await
 }
 
-/// Opens a TCP connection that fails when sent bytes stay unacknowledged for `patience`.
+/// Opens a TCP connection that fails when sent bytes stay unacknowledged for `user_timeout`.
 ///
-/// Something between the two ends may forget a connection without telling either. Sends then
-/// vanish, and the default timeout is many minutes.
-pub(crate) async fn dial(addr: std::net::SocketAddr, patience: Duration) -> Result<TcpStream> {
+/// A middlebox such as a NAT gateway may drop its state for a connection without notifying either
+/// end. Data sent afterwards is lost, and the default timeout is many minutes.
+pub(crate) async fn dial(addr: std::net::SocketAddr, user_timeout: Duration) -> Result<TcpStream> {
     let failed = |e| Error::caused(Step::Connect, "opening a connection", e).with_peer(addr);
     let stream = TcpStream::connect(addr).await.map_err(failed)?;
     SockRef::from(&stream)
-        .set_tcp_user_timeout(Some(patience))
+        .set_tcp_user_timeout(Some(user_timeout))
         .map_err(failed)?;
     Ok(stream)
 }
 
-/// Checks a newly accepted connection for membership of the cell.
+/// Runs the server side of the handshake on an accepted connection.
 pub async fn accept(stream: TcpStream, keys: &CellKeys) -> Result<(FrameReader, FrameWriter)> {
     split_server(stream, keys).await
 }
 
-/// Runs the connecting side of the handshake.
+/// Runs the client side of the handshake and splits the stream into its halves.
 pub async fn split_client(
     mut stream: TcpStream,
     keys: &CellKeys,
@@ -72,22 +73,23 @@
     let key = keys.first().clone();
     let nonce: Nonce = rand::random();
     write_hello(&mut stream, key.id(), &nonce, &peer).await?;
-    let (_, theirs) = read_hello(&mut stream, &peer).await?;
-    let mut tx_key = key.session(&nonce, &theirs, TO_SERVER);
-    let mut rx_key = key.session(&nonce, &theirs, TO_CLIENT);
-    prove(&mut stream, &mut tx_key, &peer).await?;
+    let (_, peer_nonce) = read_hello(&mut stream, &peer).await?;
+    let mut tx_key = key.session(&nonce, &peer_nonce, TO_SERVER);
+    let mut rx_key = key.session(&nonce, &peer_nonce, TO_CLIENT);
+    send_proof(&mut stream, &mut tx_key, &peer).await?;
     check_proof(&mut stream, &mut rx_key, &peer).await?;
-    Ok(halves(stream, rx_key, tx_key, peer))
+    Ok(into_halves(stream, rx_key, tx_key, peer))
 }
 
-/// Runs the accepting side of the handshake. Nothing is sent to a peer without a known key.
+/// Runs the server side of the handshake and splits the stream into its halves. Nothing is sent to
+/// a peer whose key id is unknown.
 pub async fn split_server(
     mut stream: TcpStream,
     keys: &CellKeys,
 ) -> Result<(FrameReader, FrameWriter)> {
     let peer = peer_name(&stream);
     let _ = stream.set_nodelay(true);
-    let (id, theirs) = read_hello(&mut stream, &peer).await?;
+    let (id, peer_nonce) = read_hello(&mut stream, &peer).await?;
     let Some(key) = keys.find(&id).cloned() else {
         return Err(
             Error::new(Step::Handshake, "the peer's key is not one of this cell").with_peer(peer),
@@ -95,11 +97,11 @@
     };
     let nonce: Nonce = rand::random();
     write_hello(&mut stream, id, &nonce, &peer).await?;
-    let mut rx_key = key.session(&theirs, &nonce, TO_SERVER);
-    let mut tx_key = key.session(&theirs, &nonce, TO_CLIENT);
+    let mut rx_key = key.session(&peer_nonce, &nonce, TO_SERVER);
+    let mut tx_key = key.session(&peer_nonce, &nonce, TO_CLIENT);
     check_proof(&mut stream, &mut rx_key, &peer).await?;
-    prove(&mut stream, &mut tx_key, &peer).await?;
-    Ok(halves(stream, rx_key, tx_key, peer))
+    send_proof(&mut stream, &mut tx_key, &peer).await?;
+    Ok(into_halves(stream, rx_key, tx_key, peer))
 }
 
 fn peer_name(stream: &TcpStream) -> String {
@@ -108,7 +110,7 @@
         .map_or_else(|_| "unknown peer".to_owned(), |addr| addr.to_string())
 }
 
-fn halves(
+fn into_halves(
     stream: TcpStream,
     rx: SessionKey,
     tx: SessionKey,
@@ -152,8 +154,7 @@
         .map_err(|e| transfer(Step::Handshake, peer, e))?;
     let version = u16::from_le_bytes([hello[0], hello[1]]);
     if version != WIRE_VERSION {
-        let message =
-            format!("the peer speaks wire version {version}, this process {WIRE_VERSION}");
+        let message = format!("the peer uses wire version {version}, this process {WIRE_VERSION}");
         return Err(Error::new(Step::Handshake, message).with_peer(peer));
     }
     let mut id = KeyId::default();
@@ -163,7 +164,8 @@
     Ok((id, nonce))
 }
 
-async fn prove(stream: &mut TcpStream, key: &mut SessionKey, peer: &str) -> Result<()> {
+/// Sends a tag that only a holder of the cell key can compute for this connection's nonces.
+async fn send_proof(stream: &mut TcpStream, key: &mut SessionKey, peer: &str) -> Result<()> {
     stream
         .write_all(&key.next_tag(b"proof"))
         .await
@@ -187,12 +189,12 @@
 }
 
 impl FrameReader {
-    /// Address of the other side.
+    /// Address of the peer, for logs and errors.
     pub fn peer(&self) -> &str {
         &self.peer
     }
 
-    /// Waits for the next message; `None` when the peer closed between two frames.
+    /// Waits for the next message; `None` when the peer closed the connection.
     pub async fn read<T: DeserializeOwned>(&mut self) -> Result<Option<T>> {
         let mut head = [0; 4];
         match self.stream.read_exact(&mut head).await {
@@ -230,12 +232,12 @@
 }
 
 impl FrameWriter {
-    /// Address of the other side.
+    /// Address of the peer, for logs and errors.
     pub fn peer(&self) -> &str {
         &self.peer
     }
 
-    /// Encodes a message into the buffer without sending it.
+    /// Encodes a message into the buffer without sending it; `flush` sends the buffer.
     pub fn queue(&mut self, message: &impl Serialize) -> Result<()> {
         let payload = postcard::to_allocvec(message).map_err(|e| {
             Error::caused(Step::Codec, "encoding a message", e).with_peer(&self.peer)
@@ -255,7 +257,7 @@
         Ok(())
     }
 
-    /// Sends what is queued.
+    /// Sends all queued messages.
     pub async fn flush(&mut self) -> Result<()> {
         let sent = self.stream.write_all(&self.buf).await;
         self.sent.increment(self.buf.len() as u64);
@@ -263,7 +265,7 @@
         sent.map_err(|e| transfer(Step::Transfer, &self.peer, e))
     }
 
-    /// Sends one message.
+    /// Queues one message and flushes the buffer.
     pub async fn write(&mut self, message: &impl Serialize) -> Result<()> {
         self.queue(message)?;
         self.flush().await
--- a/src/wire/delta.rs
+++ b/src/wire/delta.rs
@@ -1,4 +1,4 @@
-//! Differences between two feeds, so that a change costs what changed and not the whole.
+//! Deltas between two feeds, so that an update has the size of the change and not of the whole feed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,44 +9,44 @@
 use crate::document::{Document, JobKind, Service, Team, Workload};
 use crate::ids::{EntryId, KindName, MinionId, Revision, ServiceName, TeamName};
 
-/// What changed from one feed to the next on the same connection.
+/// Changes from one feed to the next on the same connection.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedDelta {
     /// Revision of the document after the change.
     pub revision: Revision,
-    /// Change of the document, if there is one.
+    /// Changes to the document; absent when it is the same.
     pub document: Option<DocumentDelta>,
-    /// Changes among the entry hosts.
+    /// New, changed and removed entry hosts.
     pub entries: MapDelta<EntryId, PeerEntry>,
-    /// Changes among the minions.
+    /// New, changed and removed minions.
     pub minions: MapDelta<MinionId, OwnedMinion>,
 }
 
-/// What changed from one document to the next.
+/// Changes from one document to the next.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentDelta {
-    /// Everything but the maps below, if any of it changed.
+    /// The new document without the maps below; absent when nothing in it changed.
     pub rest: Option<Box<Document>>,
-    /// Changed teams.
+    /// New, changed and removed teams.
     pub teams: MapDelta<TeamName, Team>,
-    /// Changed services.
+    /// New, changed and removed services.
     pub services: MapDelta<ServiceName, Service>,
-    /// Changed job kinds.
+    /// New, changed and removed job kinds.
     pub kinds: MapDelta<KindName, JobKind>,
-    /// Changed workloads.
+    /// New, changed and removed workloads.
     pub workloads: MapDelta<compact_str::CompactString, Workload>,
 }
 
-/// What changed from one map to the next.
+/// Changes from one map to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(bound(
     serialize = "K: Serialize + Ord, V: Serialize",
     deserialize = "K: Deserialize<'de> + Ord, V: Deserialize<'de>"
 ))]
 pub struct MapDelta<K, V> {
-    /// New and changed values.
+    /// New and changed entries, with their new values.
     pub set: BTreeMap<K, V>,
-    /// Keys that are gone.
+    /// Keys of removed entries.
     pub removed: Vec<K>,
 }
 
@@ -60,7 +60,7 @@
 }
 
 impl<K: Ord + Clone, V: Clone + PartialEq> MapDelta<K, V> {
-    /// The change that leads from `old` to `new`.
+    /// Computes the delta that turns `old` into `new`.
     pub fn between(old: &BTreeMap<K, V>, new: &BTreeMap<K, V>) -> Self {
         let changed = new
             .iter()
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Carries the change out.
+    /// Applies the delta to the map that it was computed from.
     pub fn apply(self, map: &mut BTreeMap<K, V>) {
         for key in &self.removed {
             map.remove(key);
@@ -80,14 +80,14 @@
         map.extend(self.set);
     }
 
-    /// Whether nothing changed.
+    /// Whether no entry changed.
     pub fn is_empty(&self) -> bool {
         self.set.is_empty() && self.removed.is_empty()
     }
 }
 
 impl FeedDelta {
-    /// The change that leads from `old` to `new`.
+    /// Computes the delta that turns `old` into `new`.
     pub fn between(old: &Feed, new: &Feed) -> Self {
         Self {
             revision: new.revision,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Carries the change out.
+    /// Applies the delta to the feed that it was computed from.
     pub fn apply(self, feed: &mut Feed) {
         feed.revision = self.revision;
         if let Some(delta) = self.document {
@@ -115,7 +115,7 @@
         self.minions.apply(&mut feed.minions);
     }
 
-    /// Whether nothing changed.
+    /// Whether nothing changed since a feed with the document revision `old`.
     pub fn is_empty(&self, old: Revision) -> bool {
         self.revision == old
             && self.document.is_none()
@@ -125,7 +125,7 @@
 }
 
 impl DocumentDelta {
-    /// The change that leads from `old` to `new`.
+    /// Computes the delta that turns `old` into `new`.
     pub fn between(old: &Document, new: &Document) -> Self {
         let (old_rest, new_rest) = (rest(old), rest(new));
         Self {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Carries the change out.
+    /// Applies the delta to the document that it was computed from.
     pub fn apply(self, document: &mut Document) {
         if let Some(rest) = self.rest {
             *document = Document {
@@ -155,7 +155,7 @@
     }
 }
 
-/// A document without the maps that have a delta of their own.
+/// Copies a document without the maps that have a delta of their own.
 fn rest(document: &Document) -> Document {
     Document {
         format: document.format,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! Frames between the system's own processes: postcard over TCP, authenticated by the cell key.
+//! Protocol between the system's own processes: postcard messages in frames over TCP, authenticated
+//! by the cell key.
 
 mod auth;
 mod calls;
@@ -16,8 +17,9 @@
 pub use connection::{FrameReader, FrameWriter, accept, connect, split_client, split_server};
 pub use delta::{DocumentDelta, FeedDelta, MapDelta};
 
-/// Version of the frame format and of every message in it; another one is refused by number.
+/// Version of the frame format and of all messages. Peers with another version are refused during
+/// the handshake.
 pub const WIRE_VERSION: u16 = 1;
 
-/// Largest payload of one frame in bytes.
+/// Largest payload of a frame in bytes.
 pub const MAX_FRAME: usize = 16 * 1024 * 1024;
