--- a/src/settings/model.rs
+++ b/src/settings/model.rs
@@ -1,4 +1,4 @@
-//! Settings as typed values, after parsing and validation.
+//! The daemons' settings as typed values, after parsing and validation.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,55 +9,56 @@
 /// Settings of `yuccahold-entry`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntrySettings {
-    /// Name of this entry host.
+    /// Name of this entry host, unique in the cell.
     pub id: EntryId,
-    /// Its availability zone.
+    /// Availability zone that this process runs in.
     pub zone: ZoneName,
-    /// File that holds the cell key.
+    /// File with the cell key.
     pub cell_key: PathBuf,
-    /// Where callers, minions, workers, health checks and metrics are answered over HTTP.
+    /// HTTP listening address for callers, minions, workers, health checks and metrics.
     pub listen: SocketAddr,
-    /// Where other entry hosts forward requests.
+    /// Listening address for requests that other entry hosts forward.
     pub peer_listen: SocketAddr,
-    /// Address other entry hosts are told to forward to; `peer_listen` when absent.
+    /// Address to which other entry hosts forward requests; `peer_listen` when absent.
     pub peer_advertise: Option<SocketAddr>,
-    /// Where the control replicas take calls.
+    /// Addresses on which the control replicas take calls.
     pub control: Vec<SocketAddr>,
-    /// Time between turning not ready and refusing new connections at a planned stop.
+    /// Time from reporting not ready to refusing new connections at a planned stop.
     pub stop_delay: Duration,
-    /// Longest time for requests in flight to end at a planned stop.
+    /// Longest time that requests in flight get to finish at a planned stop.
     pub stop_grace: Duration,
 }
 
 /// Settings of `yuccahold-control`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ControlSettings {
-    /// Availability zone of this replica.
+    /// Availability zone that this process runs in.
     pub zone: ZoneName,
-    /// File that holds the cell key.
+    /// File with the cell key.
     pub cell_key: PathBuf,
-    /// The one folder under which all files live.
+    /// Folder that holds all files of this replica.
     pub data: PathBuf,
-    /// Where operators, the console, health checks and metrics are answered over HTTP.
+    /// HTTP listening address for operators, the console, health checks and metrics.
     pub listen: SocketAddr,
-    /// Where entry hosts send calls.
+    /// Listening address for calls from entry hosts.
     pub call_listen: SocketAddr,
-    /// Address entry hosts and other replicas are told to call; `call_listen` when absent.
+    /// Address to which entry hosts and other replicas send calls; `call_listen` when absent.
     pub call_advertise: Option<SocketAddr>,
-    /// Where other replicas connect.
+    /// Listening address for other replicas.
     pub replica_listen: SocketAddr,
-    /// Address other replicas are told to connect to; `replica_listen` when absent.
+    /// Address to which other replicas connect; `replica_listen` when absent.
     pub replica_advertise: Option<SocketAddr>,
-    /// Where the other replicas listen for replicas.
+    /// Addresses on which the other replicas listen for replicas.
     pub replicas: Vec<SocketAddr>,
-    /// File with operators' token hashes; sign-in is off and only loopback is served when absent.
+    /// File with operators' token hashes; when absent, sign-in is off and `listen` must be a
+    /// loopback address.
     pub operators: Option<PathBuf>,
-    /// Shortest time without word from a leader before an election.
+    /// Shortest time without a message from the leader before an election starts.
     pub election_timeout: Duration,
-    /// Time between a leader's heartbeats.
+    /// Interval of the leader's heartbeats.
     pub heartbeat: Duration,
-    /// Bytes of log kept before a snapshot cuts it.
+    /// Log size in bytes at which a snapshot is taken and the log truncated.
     pub snapshot_bytes: u64,
-    /// Time after which a voter that is gone is replaced by a learner.
+    /// Time after which an unreachable voter is replaced by a learner.
     pub replace_after: Duration,
 }
--- a/src/settings/schema.rs
+++ b/src/settings/schema.rs
@@ -1,4 +1,4 @@
-//! The fields of the daemons' settings.
+//! Fields, defaults and checks of the daemons' settings.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -12,13 +12,13 @@
     Record, Span, Visitor,
 };
 
-/// Stands where an address must be given.
+/// Initial value of required addresses, until the file sets them.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 const ZONE: Field = Field::required("zone", "Availability zone this process runs in.");
 const CELL_KEY: Field = Field::required(
     "cell_key",
-    "File with the secret shared by the daemons of the cell; a second line holds the old one during a change.",
+    "File with the secret shared by the daemons of the cell; a second line holds the old one during a key rotation.",
 );
 
 impl Record for EntrySettings {
@@ -29,26 +29,32 @@
         v.scalar(CELL_KEY, &mut FilePath(&mut self.cell_key));
         let listen = Field::required(
             "listen",
-            "Where callers, minions, workers, health checks and metrics are answered over HTTP.",
+            "HTTP listening address for callers, minions, workers, health checks and metrics.",
         );
         v.scalar(listen, &mut Address(&mut self.listen));
-        let peer = Field::required("peer_listen", "Where other entry hosts forward requests.");
+        let peer = Field::required(
+            "peer_listen",
+            "Listening address for requests that other entry hosts forward.",
+        );
         v.scalar(peer, &mut Address(&mut self.peer_listen));
         let advertise = Field::optional(
             "peer_advertise",
-            "Address other entry hosts are told to forward to; `peer_listen` when absent.",
+            "Address to which other entry hosts forward requests; `peer_listen` when absent.",
         );
         v.scalar(advertise, &mut OptionalAddress(&mut self.peer_advertise));
-        let control = Field::required("control", "Where the control replicas take calls.");
+        let control = Field::required(
+            "control",
+            "Addresses on which the control replicas take calls.",
+        );
         v.texts(control, &mut Addresses(&mut self.control));
         let delay = Field::optional(
             "stop_delay",
-            "Time between turning not ready and refusing new connections at a planned stop.",
+            "Time from reporting not ready to refusing new connections at a planned stop.",
         );
         v.scalar(delay, &mut Span(&mut self.stop_delay));
         let grace = Field::optional(
             "stop_grace",
-            "Longest time for requests in flight to end at a planned stop.",
+            "Longest time that requests in flight get to finish at a planned stop.",
         );
         v.scalar(grace, &mut Span(&mut self.stop_grace));
     }
@@ -76,30 +82,33 @@
     fn visit(&mut self, v: &mut dyn Visitor) {
         v.scalar(ZONE, &mut Name(&mut self.zone));
         v.scalar(CELL_KEY, &mut FilePath(&mut self.cell_key));
-        let data = Field::required("data", "The one folder under which all files live.");
+        let data = Field::required("data", "Folder that holds all files of this replica.");
         v.scalar(data, &mut FilePath(&mut self.data));
         let listen = Field::required(
             "listen",
-            "Where operators, the console, health checks and metrics are answered over HTTP.",
+            "HTTP listening address for operators, the console, health checks and metrics.",
         );
         v.scalar(listen, &mut Address(&mut self.listen));
-        let call = Field::required("call_listen", "Where entry hosts send calls.");
+        let call = Field::required(
+            "call_listen",
+            "Listening address for calls from entry hosts.",
+        );
         v.scalar(call, &mut Address(&mut self.call_listen));
         let advertise = Field::optional(
             "call_advertise",
-            "Address entry hosts and other replicas are told to call; `call_listen` when absent.",
+            "Address to which entry hosts and other replicas send calls; `call_listen` when absent.",
         );
         v.scalar(advertise, &mut OptionalAddress(&mut self.call_advertise));
-        let replica = Field::required("replica_listen", "Where other replicas connect.");
+        let replica = Field::required("replica_listen", "Listening address for other replicas.");
         v.scalar(replica, &mut Address(&mut self.replica_listen));
         let advertise = Field::optional(
             "replica_advertise",
-            "Address other replicas are told to connect to; `replica_listen` when absent.",
+            "Address to which other replicas connect; `replica_listen` when absent.",
         );
         v.scalar(advertise, &mut OptionalAddress(&mut self.replica_advertise));
         let replicas = Field::optional(
             "replicas",
-            "Where the other replicas listen for replicas; empty for a group of one.",
+            "Addresses on which the other replicas listen for replicas; empty for a group of one.",
         );
         v.texts(replicas, &mut Addresses(&mut self.replicas));
         let operators = Field::optional(
@@ -109,19 +118,19 @@
         v.scalar(operators, &mut OptionalPath(&mut self.operators));
         let election = Field::optional(
             "election_timeout",
-            "Shortest time without word from a leader before an election.",
+            "Shortest time without a message from the leader before an election starts.",
         );
         v.scalar(election, &mut Span(&mut self.election_timeout));
-        let heartbeat = Field::optional("heartbeat", "Time between a leader's heartbeats.");
+        let heartbeat = Field::optional("heartbeat", "Interval of the leader's heartbeats.");
         v.scalar(heartbeat, &mut Span(&mut self.heartbeat));
         let snapshot = Field::optional(
             "snapshot_bytes",
-            "Size of the log at which a snapshot cuts it.",
+            "Log size at which a snapshot is taken and the log truncated.",
         );
         v.scalar(snapshot, &mut Bytes(&mut self.snapshot_bytes));
         let replace = Field::optional(
             "replace_after",
-            "Time after which a voter that is gone is replaced by a learner.",
+            "Time after which an unreachable voter is replaced by a learner.",
         );
         v.scalar(replace, &mut Span(&mut self.replace_after));
     }
@@ -151,13 +160,13 @@
 }
 
 pub(crate) fn check_entry(s: &EntrySettings) -> Vec<Finding> {
-    let mut findings = clashes(&[("listen", s.listen), ("peer_listen", s.peer_listen)]);
-    advertised(&mut findings, "peer", s.peer_listen, s.peer_advertise);
+    let mut findings = port_conflicts(&[("listen", s.listen), ("peer_listen", s.peer_listen)]);
+    check_advertised(&mut findings, "peer", s.peer_listen, s.peer_advertise);
     if s.control.is_empty() {
         let message = "an entry host needs the address of at least one control replica";
         findings.push(Finding::new("control", message));
     }
-    reachable(&mut findings, "control", &s.control);
+    check_peers(&mut findings, "control", &s.control);
     findings
 }
 
@@ -167,21 +176,21 @@
         ("call_listen", s.call_listen),
         ("replica_listen", s.replica_listen),
     ];
-    let mut findings = clashes(&listens);
-    advertised(&mut findings, "call", s.call_listen, s.call_advertise);
-    advertised(
+    let mut findings = port_conflicts(&listens);
+    check_advertised(&mut findings, "call", s.call_listen, s.call_advertise);
+    check_advertised(
         &mut findings,
         "replica",
         s.replica_listen,
         s.replica_advertise,
     );
-    reachable(&mut findings, "replicas", &s.replicas);
+    check_peers(&mut findings, "replicas", &s.replicas);
     let own = s.replica_advertise.unwrap_or(s.replica_listen);
     for (i, _) in s.replicas.iter().enumerate().filter(|(_, a)| **a == own) {
         let message = "this is the replica's own address; list the others only";
         findings.push(Finding::new(format!("replicas.{i}"), message));
     }
-    // With heartbeats nearly as rare as the timeout, one late heartbeat starts an election.
+    // With a heartbeat interval close to the timeout, a single late heartbeat starts an election.
     if s.heartbeat.is_zero() || s.heartbeat * 3 > s.election_timeout {
         let message = "`heartbeat` is over zero and at most a third of `election_timeout`";
         findings.push(Finding::new("heartbeat", message));
@@ -197,8 +206,9 @@
     findings
 }
 
-/// Listening addresses that can't be bound together. Port 0 lets the system choose.
-fn clashes(listens: &[(&str, SocketAddr)]) -> Vec<Finding> {
+/// Finds listening addresses that can't be bound at the same time. With port 0 the system chooses a
+/// free port.
+fn port_conflicts(listens: &[(&str, SocketAddr)]) -> Vec<Finding> {
     let mut findings = Vec::new();
     for (i, (key, addr)) in listens.iter().enumerate() {
         for (other_key, other) in &listens[..i] {
@@ -217,15 +227,15 @@
     findings
 }
 
-/// Peers can't connect to 0.0.0.0, so an address to tell them is needed.
-fn advertised(
+/// Checks that peers get an address they can use: they can't connect to 0.0.0.0.
+fn check_advertised(
     findings: &mut Vec<Finding>,
     what: &str,
     listen: SocketAddr,
-    told: Option<SocketAddr>,
+    advertise: Option<SocketAddr>,
 ) {
     let key = format!("{what}_advertise");
-    match told {
+    match advertise {
         Some(addr) if addr.ip().is_unspecified() => {
             let message = format!("no one can connect to `{addr}`; give the host's own address");
             findings.push(Finding::new(key, message));
@@ -240,7 +250,8 @@
     }
 }
 
-fn reachable(findings: &mut Vec<Finding>, key: &str, addrs: &[SocketAddr]) {
+/// Checks that the addresses of peers can be connected to and differ from each other.
+fn check_peers(findings: &mut Vec<Finding>, key: &str, addrs: &[SocketAddr]) {
     for (i, addr) in addrs.iter().enumerate() {
         if addr.ip().is_unspecified() || addr.port() == 0 {
             let message = format!("no one can connect to `{addr}`");
--- a/src/telemetry/logs.rs
+++ b/src/telemetry/logs.rs
@@ -1,32 +1,32 @@
-//! Loggers: lines for people on a terminal, one JSON object a line otherwise.
+//! Loggers: readable lines on a terminal, one JSON object per line otherwise.
 
 use std::io::{IsTerminal, Write};
 
 use super::stdout::Writer;
 use slog::{Drain, FnValue, Level, Logger, PushFnValue, Record, o};
 
-/// Records that wait for the log thread before new ones are dropped and counted in the log.
+/// Queued records above which new ones are dropped; their number is logged.
 const QUEUE_LEN: usize = 4096;
 
-/// Form of the log.
+/// Output format of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Lines for people when standard error is a terminal, JSON otherwise.
+    /// `Human` when standard error is a terminal, `Json` otherwise.
     Auto,
-    /// Lines for people.
+    /// Readable lines with colours where the terminal has them.
     Human,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Keeps the log thread alive; dropping it writes out what is queued.
+/// Keeps the log thread alive; dropping it writes the queued records and ends the thread.
 pub struct LogGuard {
     _thread: slog_async::AsyncGuard,
 }
 
-/// Makes the logger of a daemon, which writes to standard error from a thread of its own.
+/// Creates the logger of a daemon, which writes to standard error from a thread of its own.
 ///
-/// A slow terminal or pipe never delays the caller: when the queue is full, records are dropped
+/// A slow terminal or pipe never blocks the caller: when the queue is full, records are dropped
 /// and their number is logged.
 pub fn logger(daemon: &'static str, format: LogFormat, level: Level) -> (Logger, LogGuard) {
     let human = match format {
@@ -44,19 +44,19 @@
     spawn(daemon, json_drain(std::io::stderr()).fuse(), level)
 }
 
-/// Makes the logger of a daemon whose platform collects JSON lines from standard output.
+/// Creates the logger of a daemon whose platform collects JSON lines from standard output.
 pub fn stdout_logger(daemon: &'static str) -> std::io::Result<(Logger, Writer)> {
     let (lines, writer) = Writer::start(std::io::stdout())?;
     Ok((json_logger(daemon, lines), writer))
 }
 
-/// Makes a logger that writes JSON lines to any writer without a thread in between.
+/// Creates a logger that writes JSON lines to `writer` from the calling thread.
 pub fn json_logger(daemon: &'static str, writer: impl Write + Send + 'static) -> Logger {
     let drain = std::sync::Mutex::new(json_drain(writer)).fuse();
     Logger::root(drain, o!("daemon" => daemon))
 }
 
-/// Makes a logger that drops everything.
+/// Creates a logger that drops all records.
 pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! Logs by `slog` and metrics by `metrics`, as each daemon sets them up at its start.
+//! Setup of logging (`slog`) and metrics (`metrics`) at the start of a daemon.
 
 mod logs;
 mod metrics_page;
--- a/src/telemetry/stdout.rs
+++ b/src/telemetry/stdout.rs
@@ -1,22 +1,23 @@
-//! Log lines gathered in memory and written to standard output in batches.
+//! Log lines that are buffered in memory and written to standard output in batches.
 //!
-//! A line costs its caller an append to a buffer; one thread writes what has gathered. Nobody
-//! waits for a reader that is slow or gone: when the buffer is full, lines are dropped and their
-//! number is written once there is room again.
+//! Logging a line only appends to a buffer; a thread writes the buffer out. A slow or closed reader
+//! never blocks a caller: when the buffer is full, lines are dropped, and their number is written
+//! with the next batch.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Bytes that wait to be written before lines are dropped: some seconds of the busiest leader.
+/// Size of the buffer in bytes, above which lines are dropped. It holds several seconds of the
+/// busiest leader's log.
 const CAPACITY: usize = 1024 * 1024;
-/// Time between two writes. Each wakes a thread and costs a system call, whatever its size.
-const WRITE_EVERY: Duration = Duration::from_millis(100);
-/// Most bytes in one write, but for a single longer line. Readers that take a block a write cut
-/// what went past theirs: four in five lines of a busy second were missing.
-const BLOCK: usize = 4096;
-/// Longest line in bytes; one that is longer is cut by its serializer's caller, or dropped here.
+/// Time between two batches. Each batch wakes a thread and takes at least one system call.
+const WRITE_INTERVAL: Duration = Duration::from_millis(100);
+/// Most bytes in one write, except for a single longer line. Readers that read one block per write
+/// cut off the rest: with larger writes four in five lines of a busy second were missing.
+const MAX_WRITE: usize = 4096;
+/// Longest line in bytes; a longer one is dropped.
 const MAX_LINE: usize = 16 * 1024;
 
 #[derive(Default)]
@@ -38,7 +39,7 @@
     }
 }
 
-/// Takes whole lines; cheap to write to.
+/// Writer for log lines: `write` collects one line, `flush` appends it to the shared buffer.
 #[derive(Clone, Default)]
 pub struct Lines {
     shared: Arc<Shared>,
@@ -51,7 +52,7 @@
         Ok(bytes.len())
     }
 
-    /// Ends a line.
+    /// Ends the line and appends it to the buffer, or drops it when it does not fit.
     fn flush(&mut self) -> io::Result<()> {
         let mut state = self.shared.lock();
         if self.line.len() > MAX_LINE || state.waiting.len() + self.line.len() > CAPACITY {
@@ -64,7 +65,7 @@
     }
 }
 
-/// Writes the lines until it is dropped; what waits then is written first.
+/// Owns the writing thread; dropping it writes the buffered lines and ends the thread.
 pub struct Writer {
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
@@ -91,7 +92,7 @@
         self.shared.lock().closed = true;
         self.shared.closing.notify_all();
         if let Some(thread) = self.thread.take() {
-            // A writer that panicked has nothing left to write.
+            // If the thread has panicked, there is nothing left to do.
             let _ = thread.join();
         }
     }
@@ -102,7 +103,7 @@
         let state = shared.lock();
         let (mut state, _) = shared
             .closing
-            .wait_timeout_while(state, WRITE_EVERY, |s| !s.closed)
+            .wait_timeout_while(state, WRITE_INTERVAL, |s| !s.closed)
             .expect("no holder panics");
         let closed = state.closed;
         let mut bytes = std::mem::take(&mut state.waiting);
@@ -114,7 +115,7 @@
             );
             bytes.extend_from_slice(line.as_bytes());
         }
-        // A reader that is gone must not end the daemon.
+        // A closed reader must not end the daemon.
         let _ = write_blocks(&mut out, &bytes);
         if closed {
             return;
@@ -122,10 +123,10 @@
     }
 }
 
-/// Writes whole lines, as many in a block as fit.
+/// Writes whole lines, as many per write as fit into `MAX_WRITE`.
 fn write_blocks(out: &mut impl Write, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
-        let block = &bytes[..bytes.len().min(BLOCK)];
+        let block = &bytes[..bytes.len().min(MAX_WRITE)];
         let line_end = |within: &[u8]| within.iter().rposition(|b| *b == b'\n');
         let first_line = || bytes.iter().position(|b| *b == b'\n');
         let end = line_end(block).or_else(first_line);
