--- a/src/platform/control.rs
+++ b/src/platform/control.rs
@@ -10,7 +10,7 @@
 use super::client::Client;
 use super::daemon::{bind, drain_time, open_cell_keys, run_daemon, serve_metrics, wait_for_end};
 use super::http;
-use super::minions::{self, MinionCalls};
+use super::minions::{self, MinionClient};
 use super::operator::ControlHandler;
 use super::settings::Boot;
 use crate::batch::agents::Agents;
@@ -79,7 +79,7 @@
     }
     let keys = open_cell_keys()?;
     let control = bind(boot.control, "operators and minions").await?;
-    let calls = bind(Some(boot.call_addr()), "calls to the leader").await?;
+    let calls = bind(Some(boot.call_addr()), "calls").await?;
     let (orders_tx, orders) = mpsc::unbounded_channel();
     let machine = Machine::new(boot.dispatch.clone(), orders_tx);
     let cfg = ReplicaConfig {
@@ -108,7 +108,7 @@
     tokio::spawn(driver::run(
         orders,
         replica.clone(),
-        MinionCalls(client.clone()),
+        MinionClient(client.clone()),
         agents.clone(),
         log.clone(),
     ));
@@ -153,7 +153,7 @@
             continue;
         }
         last = Some(view);
-        info!(log, "replication group changed"; "role" => format!("{:?}", now.role), "term" => now.term,
+        info!(log, "group"; "role" => format!("{:?}", now.role), "term" => now.term,
             "leader" => now.leader.map(|id| format!("{id:016x}")),
             "voters" => now.voters.len(), "learners" => now.learners.len(),
             "committed" => now.committed);
--- a/src/platform/minions.rs
+++ b/src/platform/minions.rs
@@ -107,9 +107,9 @@
 
 /// Sends orders and holds to minions over pooled connections.
 #[derive(Clone)]
-pub(super) struct MinionCalls(pub(super) Client);
+pub(super) struct MinionClient(pub(super) Client);
 
-impl MinionCalls {
+impl MinionClient {
     async fn order(&self, to: &Target, path: &str, body: &impl Serialize) -> Answer {
         let call = self
             .0
@@ -147,7 +147,7 @@
     }
 }
 
-impl Minions for MinionCalls {
+impl Minions for MinionClient {
     async fn start(&self, to: &Target, order: &StartOrder) -> Answer {
         let body = StartBody {
             task: order.task.to_string(),
@@ -278,10 +278,10 @@
 }
 
 /// The calls that a daemon in platform mode can make on behalf of the leader.
-pub(super) fn calls(boot: &Boot, client: Client) -> Calls<MinionCalls, PolicyCalls> {
+pub(super) fn calls(boot: &Boot, client: Client) -> Calls<MinionClient, PolicyClient> {
     Calls {
-        minions: MinionCalls(client.clone()),
-        policy: PolicyCalls {
+        minions: MinionClient(client.clone()),
+        policy: PolicyClient {
             client,
             addr: boot.policy,
         },
@@ -291,12 +291,12 @@
 
 /// Asks the policy service which minions may run a step; without an address it gives no advice.
 #[derive(Clone)]
-pub(super) struct PolicyCalls {
+pub(super) struct PolicyClient {
     client: Client,
     addr: Option<SocketAddr>,
 }
 
-impl Policy for PolicyCalls {
+impl Policy for PolicyClient {
     async fn advise(&self, question: &AdviceQuestion) -> Option<Advice> {
         let body = AdviseBody {
             step: question.id.step.to_string(),
--- a/tests/delta.rs
+++ b/tests/delta.rs
@@ -1,4 +1,4 @@
-//! Differences between feeds: applying one gives the new feed, whatever changed.
+//! Deltas between feeds: applying one to the old feed gives the new feed.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use yuccahold::document::{Document, Drain, DrainTarget, Team};
 use yuccahold::wire::{Feed, FeedDelta, MinionAnnouncement, OwnedMinion, PeerEntry};
 
-/// A feed decided by a few small numbers, so that two of them share most of their parts.
+/// Builds a feed from a few small numbers, so that two random feeds have many entries in common.
 fn feed(parts: &[(u8, u8)], revision: u64) -> Feed {
     let mut document = Document::default();
     let mut feed = Feed {
@@ -73,25 +73,28 @@
         let (old, new) = (feed(&old, revision), feed(&new, revision + 1));
         let bytes = postcard::to_allocvec(&FeedDelta::between(&old, &new)).unwrap();
         let delta: FeedDelta = postcard::from_bytes(&bytes).unwrap();
-        let mut held = old;
-        delta.apply(&mut held);
-        prop_assert_eq!(held, new);
+        let mut applied = old;
+        delta.apply(&mut applied);
+        prop_assert_eq!(applied, new);
     }
 }
 
 #[test]
-fn a_small_change_costs_little() {
-    // One of 256 minions changes its owner. Every entry host must hear of it, but not of the
-    // other 255 again.
-    let many: Vec<(u8, u8)> = (0..=255).map(|n| (n, n)).collect();
-    let old = feed(&many, 1);
+fn a_small_change_gives_a_small_delta() {
+    // One of 256 minions changes its owner. Every entry host must get this change, but not the other
+    // 255 minions again.
+    let parts: Vec<(u8, u8)> = (0..=255).map(|n| (n, n)).collect();
+    let old = feed(&parts, 1);
     let mut new = old.clone();
     new.minions.get_mut("n7").unwrap().owner = Some("e1".into());
-    let whole = postcard::to_allocvec(&new).unwrap().len();
+    let feed_len = postcard::to_allocvec(&new).unwrap().len();
     let delta = FeedDelta::between(&old, &new);
     assert!(delta.document.is_none());
     assert_eq!(delta.minions.set.len(), 1);
-    let cost = postcard::to_allocvec(&delta).unwrap().len();
-    assert!(cost * 100 < whole, "{cost} of {whole} bytes");
+    let delta_len = postcard::to_allocvec(&delta).unwrap().len();
+    assert!(
+        delta_len * 100 < feed_len,
+        "{delta_len} of {feed_len} bytes"
+    );
     assert!(FeedDelta::between(&new, &new.clone()).is_empty(1));
 }
--- a/tests/platform_cell/book.rs
+++ b/tests/platform_cell/book.rs
@@ -1,56 +1,58 @@
-//! What callers and minions have seen, and the promises that it must keep.
+//! Records what callers and minions observe, and the violations of the system's guarantees.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use super::workspaces::Workspaces;
 
-/// What one task takes of its minion.
+/// Resources that a task uses or that a minion has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Need {
+pub struct Resources {
     pub millicores: u32,
     pub memory_mb: u32,
 }
 
-/// Room of every minion.
-pub const CAPACITY: Need = Need {
+/// Capacity of each minion before any resize.
+pub const FULL_CAPACITY: Resources = Resources {
     millicores: 8_000,
     memory_mb: 8_000,
 };
-/// Failed runs after which a task has failed, as the configuration says.
+/// Failed runs after which a task has failed; the configuration sets it.
 pub const ATTEMPTS: u32 = 6;
 
-/// Crashes of minions under a task after which it may be given up.
-const GIVEN_UP_AFTER: u32 = 2;
-/// Crashes under a task after which it may be started twice more.
-const MOST_CRASHES: u32 = 3;
+/// Minion crashes caused by a task after which the task may be given up.
+const CRASHES_TO_GIVE_UP: u32 = 2;
+/// Minion crashes caused by a task after which it may be started at most twice more.
+const MAX_CRASHES: u32 = 3;
 
 #[derive(Default)]
-struct Pages {
-    /// Runs on minions that are up: task to run and minion.
+struct Records {
+    /// Current run and its minion, by task.
     running: BTreeMap<String, (u32, String)>,
-    used: BTreeMap<String, Need>,
-    /// Tasks whose end as done was acknowledged to its minion.
+    /// Resources in use, by minion.
+    used: BTreeMap<String, Resources>,
+    /// Tasks whose successful end was acknowledged to the minion.
     done: BTreeSet<String>,
+    /// Number of failed runs, by task.
     failures: BTreeMap<String, u32>,
-    /// Minions that crashed under each task.
+    /// Number of minion crashes during a run, by task.
     crashes: BTreeMap<String, u32>,
-    /// Starts of each task after three minions had crashed under it.
-    starts_too_many: BTreeMap<String, u32>,
+    /// Number of starts after `MAX_CRASHES` crashes, by task.
+    excess_starts: BTreeMap<String, u32>,
     starts: u64,
-    /// Jobs whose every hand-in was refused as not run.
+    /// Jobs for which every submission was refused as not run.
     refused: BTreeSet<String>,
     accepted: BTreeSet<String>,
     cancelled: BTreeSet<String>,
-    /// Workspace of each job that has one.
+    /// Workspace index, by job.
     owners: BTreeMap<String, usize>,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
-/// Shared record of one soak.
+/// Recorder shared by all callers and minions of one test.
 #[derive(Clone, Default)]
-pub struct Book {
-    pages: Arc<Mutex<Pages>>,
+pub struct Recorder {
+    records: Arc<Mutex<Records>>,
     pub workspaces: Workspaces,
 }
 
@@ -58,95 +60,102 @@
     task.split('.').next().unwrap_or(task)
 }
 
-impl Book {
-    fn lock(&self) -> MutexGuard<'_, Pages> {
-        self.pages.lock().expect("no holder panics")
-    }
-
-    /// A minion with this room has begun a run.
-    pub fn started(&self, task: &str, run: u32, minion: &str, need: Need, room: Need) {
-        let mut pages = self.lock();
-        pages.starts += 1;
-        if let Some((other_run, other)) = pages.running.get(task).cloned() {
-            pages.broken.push(format!(
+impl Recorder {
+    fn lock(&self) -> MutexGuard<'_, Records> {
+        self.records.lock().expect("no holder panics")
+    }
+
+    /// Records that a minion with this capacity has started a run.
+    pub fn run_started(
+        &self,
+        task: &str,
+        run: u32,
+        minion: &str,
+        need: Resources,
+        capacity: Resources,
+    ) {
+        let mut records = self.lock();
+        records.starts += 1;
+        if let Some((other_run, other)) = records.running.get(task).cloned() {
+            records.violations.push(format!(
                 "TWICE {task}: run {run} on {minion} beside run {other_run} on {other}"
             ));
         }
-        if pages.done.contains(task) {
+        if records.done.contains(task) {
             let text = format!("TWICE {task}: run {run} on {minion} after it was done");
-            pages.broken.push(text);
+            records.violations.push(text);
         }
-        if pages.refused.contains(job_of(task)) {
+        if records.refused.contains(job_of(task)) {
             let text = format!("REFUSED {task}: run {run} though its job was refused");
-            pages.broken.push(text);
+            records.violations.push(text);
         }
-        pages
+        records
             .running
             .insert(task.to_owned(), (run, minion.to_owned()));
-        let used = pages.used.entry(minion.to_owned()).or_default();
+        let used = records.used.entry(minion.to_owned()).or_default();
         used.millicores += need.millicores;
         used.memory_mb += need.memory_mb;
         let used = *used;
-        if let Some(owner) = pages.owners.get(job_of(task)).copied()
-            && !self.workspaces.begun(owner, need.millicores)
+        if let Some(owner) = records.owners.get(job_of(task)).copied()
+            && !self.workspaces.run_started(owner, need.millicores)
         {
             let text = format!("QUOTA workspace {owner}: run {run} of {task} on {minion}");
-            pages.broken.push(text);
+            records.violations.push(text);
         }
-        if used.millicores > room.millicores || used.memory_mb > room.memory_mb {
+        if used.millicores > capacity.millicores || used.memory_mb > capacity.memory_mb {
             let text = format!("LIMIT {minion}: {used:?} with run {run} of {task}");
-            pages.broken.push(text);
+            records.violations.push(text);
         }
     }
 
-    /// A run is over on its minion, however it ended.
-    pub fn over(&self, task: &str, minion: &str, need: Need, failed: bool) {
-        let mut pages = self.lock();
-        if pages.running.get(task).is_some_and(|(_, m)| m == minion) {
-            pages.running.remove(task);
+    /// Records that a run has ended on its minion, for any reason.
+    pub fn run_ended(&self, task: &str, minion: &str, need: Resources, failed: bool) {
+        let mut records = self.lock();
+        if records.running.get(task).is_some_and(|(_, m)| m == minion) {
+            records.running.remove(task);
         }
-        if let Some(used) = pages.used.get_mut(minion) {
+        if let Some(used) = records.used.get_mut(minion) {
             used.millicores -= need.millicores;
             used.memory_mb -= need.memory_mb;
         }
-        if let Some(owner) = pages.owners.get(job_of(task)) {
-            self.workspaces.over(*owner, need.millicores);
+        if let Some(owner) = records.owners.get(job_of(task)) {
+            self.workspaces.run_ended(*owner, need.millicores);
         }
         if failed {
-            *pages.failures.entry(task.to_owned()).or_default() += 1;
+            *records.failures.entry(task.to_owned()).or_default() += 1;
         }
     }
 
-    /// A minion has begun a task that crashes it.
+    /// Records that a minion has started a task that will crash it.
     pub fn started_crasher(&self, task: &str) {
-        let mut pages = self.lock();
-        if pages.crashes.get(task).is_none_or(|n| *n < MOST_CRASHES) {
+        let mut records = self.lock();
+        if records.crashes.get(task).is_none_or(|n| *n < MAX_CRASHES) {
             return;
         }
-        let starts = pages.starts_too_many.entry(task.to_owned()).or_default();
+        let starts = records.excess_starts.entry(task.to_owned()).or_default();
         *starts += 1;
         if *starts >= 3 {
             let text = format!("BUDGET {task}: {starts} starts after three crashes");
-            pages.broken.push(text);
+            records.violations.push(text);
         }
     }
 
-    /// A minion has crashed under a task.
+    /// Records that a minion has crashed during a run of this task.
     pub fn crashed(&self, task: &str) {
         *self.lock().crashes.entry(task.to_owned()).or_default() += 1;
     }
 
-    /// An end as done was acknowledged to its minion.
-    pub fn noted_done(&self, task: &str) {
+    /// Records that the successful end of a task was acknowledged to its minion.
+    pub fn done_acknowledged(&self, task: &str) {
         self.lock().done.insert(task.to_owned());
     }
 
-    /// A job is about to be handed in by a workspace.
-    pub fn owned(&self, job: &str, workspace: usize) {
+    /// Records that a workspace is about to submit a job.
+    pub fn submitted_by(&self, job: &str, workspace: usize) {
         self.lock().owners.insert(job.to_owned(), workspace);
     }
 
-    /// Workspace that a job was handed in by.
+    /// Workspace that submitted a job.
     pub fn owner(&self, job: &str) -> Option<usize> {
         self.lock().owners.get(job).copied()
     }
@@ -156,56 +165,62 @@
     }
 
     pub fn refused(&self, job: &str) {
-        let mut pages = self.lock();
-        let runs = pages.running.keys().any(|task| job_of(task) == job);
+        let mut records = self.lock();
+        let runs = records.running.keys().any(|task| job_of(task) == job);
         if runs {
-            pages.broken.push(format!("REFUSED {job}: it runs already"));
+            records
+                .violations
+                .push(format!("REFUSED {job}: it runs already"));
         }
-        pages.refused.insert(job.to_owned());
+        records.refused.insert(job.to_owned());
     }
 
     pub fn cancelled(&self, job: &str) {
         self.lock().cancelled.insert(job.to_owned());
     }
 
-    pub fn broke(&self, what: String) {
-        self.lock().broken.push(what);
+    pub fn record_violation(&self, what: String) {
+        self.lock().violations.push(what);
     }
 
-    /// Accepted jobs that nobody has cancelled.
-    pub fn owed(&self) -> Vec<String> {
-        let pages = self.lock();
-        pages
+    /// Accepted jobs that were not cancelled; all of them have to end.
+    pub fn must_finish(&self) -> Vec<String> {
+        let records = self.lock();
+        records
             .accepted
-            .difference(&pages.cancelled)
+            .difference(&records.cancelled)
             .cloned()
             .collect()
     }
 
-    /// Whether some task of a job has failed as often as is allowed, or two minions have crashed
-    /// under one.
+    /// Whether a task of the job has used up its attempts, or has caused enough crashes to be given
+    /// up.
     pub fn may_have_failed(&self, job: &str) -> bool {
-        let pages = self.lock();
+        let records = self.lock();
         let reached = |counts: &BTreeMap<String, u32>, most| {
             let mut counts = counts.iter();
             counts.any(|(task, n)| job_of(task) == job && *n >= most)
         };
-        reached(&pages.failures, ATTEMPTS) || reached(&pages.crashes, GIVEN_UP_AFTER)
+        reached(&records.failures, ATTEMPTS) || reached(&records.crashes, CRASHES_TO_GIVE_UP)
     }
 
-    /// Tasks that run now.
+    /// Number of tasks that run now.
     pub fn running(&self) -> usize {
         self.lock().running.len()
     }
 
-    /// Starts, jobs accepted and jobs cancelled.
+    /// Numbers of starts, accepted jobs and cancelled jobs.
     pub fn counts(&self) -> (u64, usize, usize) {
-        let pages = self.lock();
-        (pages.starts, pages.accepted.len(), pages.cancelled.len())
+        let records = self.lock();
+        (
+            records.starts,
+            records.accepted.len(),
+            records.cancelled.len(),
+        )
     }
 
-    /// Promises that were broken so far.
-    pub fn broken(&self) -> Vec<String> {
-        self.lock().broken.clone()
+    /// Violations recorded so far.
+    pub fn violations(&self) -> Vec<String> {
+        self.lock().violations.clone()
     }
 }
--- a/tests/platform_cell/caller.rs
+++ b/tests/platform_cell/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: hand jobs in, ask for them again, cancel some, and note what they were told.
+//! Simulated callers that submit, query and cancel jobs and record the answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,54 +9,56 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use super::book::{Book, Need};
+use super::book::{Recorder, Resources};
 use super::payload::Payload;
 use super::workspaces::SentKey;
 
 pub const HOST: &str = "desk.example";
 pub const PREFIX: &str = "/jobs/";
-const PATIENCE: Duration = Duration::from_millis(1_500);
+const TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What came of one request.
+/// Result of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Outcome {
+    /// HTTP status, and the job state if the body has one.
     Status(u16, Option<String>),
-    Nothing,
+    /// Timeout or connection error.
+    NoReply,
 }
 
-/// One caller, with connections that it keeps open.
+/// One caller, which reuses its connections.
 pub struct Caller {
     client: Client,
-    fronts: Vec<SocketAddr>,
+    entry_addrs: Vec<SocketAddr>,
     rng: ChaCha8Rng,
-    book: Book,
-    /// Part of the jobs with a task that crashes the minions that start it.
+    recorder: Recorder,
+    /// Fraction of jobs whose tasks crash the minions that start them.
     pub crash_share: f64,
-    /// Workspace that it belongs to, where there are any.
+    /// Index of its workspace; unused when there are no workspaces.
     pub workspace: usize,
 }
 
 impl Caller {
-    pub fn new(fronts: Vec<SocketAddr>, seed: u64, book: Book) -> Self {
+    pub fn new(entry_addrs: Vec<SocketAddr>, seed: u64, recorder: Recorder) -> Self {
         Self {
             client: Client::new(),
-            fronts,
+            entry_addrs,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            book,
+            recorder,
             crash_share: 0.0,
             workspace: 0,
         }
     }
 
-    /// Hands jobs in until `end`; each is asked for once or cancelled a little later.
+    /// Submits jobs until `end` and queries or cancels each accepted one.
     pub async fn run(mut self, end: Instant) {
         while Instant::now() < end {
             let job = format!("{:016x}", self.rng.random::<u64>());
-            if self.book.workspaces.key(self.workspace, 0).is_some() {
-                self.book.owned(&job, self.workspace);
+            if self.recorder.workspaces.key(self.workspace, 0).is_some() {
+                self.recorder.submitted_by(&job, self.workspace);
             }
             if self.rng.random_bool(0.2) {
-                self.try_in_vain(&job).await;
+                self.submit_with_old_key(&job).await;
             }
             if self.submit(&job).await {
                 if self.rng.random_bool(0.1) {
@@ -71,22 +73,22 @@
     }
 
     fn job(&mut self) -> Value {
-        let need = Need {
+        let need = Resources {
             millicores: self.rng.random_range(200..3_000),
             memory_mb: self.rng.random_range(100..2_000),
         };
-        let takes = self.rng.random_range(50..900);
+        let duration_ms = self.rng.random_range(50..900);
         let payload = Payload {
             need,
-            takes,
-            fails: 8,
+            duration_ms,
+            fail_percent: 8,
             crashes: self.crash_share > 0.0 && self.rng.random_bool(self.crash_share),
         };
         let steps: Vec<_> = (0..self.rng.random_range(1..=2_u32))
             .map(|step| {
                 json!({
                     "count": self.rng.random_range(1..=4), "cpu": need.millicores,
-                    "mem_mb": need.memory_mb, "est_ms": takes,
+                    "mem_mb": need.memory_mb, "est_ms": duration_ms,
                     "depends_on": (0..step).collect::<Vec<_>>(),
                 })
             })
@@ -94,35 +96,36 @@
         json!({"spec": payload.text(), "steps": steps})
     }
 
-    /// Whether the job was accepted. One that every answer refused never runs.
+    /// Submits a job with retries; returns whether it was accepted. A job that was refused by every
+    /// answer must never run.
     async fn submit(&mut self, job: &str) -> bool {
         let body = self.job();
         let mut only_refused = true;
         for _ in 0..6 {
             match self.ask(reqwest::Method::POST, job, Some(&body)).await {
-                Told::Status(200..=299, _) => {
-                    self.book.accepted(job);
-                    // A repetition that was delayed on its way must find the same job.
+                Outcome::Status(200..=299, _) => {
+                    self.recorder.accepted(job);
+                    // A delayed duplicate of the request must find the same job.
                     if self.rng.random_bool(0.05) {
                         self.ask(reqwest::Method::POST, job, Some(&body)).await;
                     }
                     return true;
                 }
-                Told::Status(429 | 503, _) => {}
+                Outcome::Status(429 | 503, _) => {}
                 _ => only_refused = false,
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         if only_refused {
-            self.book.refused(job);
+            self.recorder.refused(job);
         }
         false
     }
 
-    /// A call with a key that is no longer in force.
-    async fn try_in_vain(&mut self, job: &str) {
+    /// Submits a job with a key that has been replaced.
+    async fn submit_with_old_key(&mut self, job: &str) {
         let age = self.rng.random_range(1..=2);
-        let Some(key) = self.book.workspaces.key(self.workspace, age) else {
+        let Some(key) = self.recorder.workspaces.key(self.workspace, age) else {
             return;
         };
         let body = self.job();
@@ -131,27 +134,32 @@
     }
 
     async fn cancel(&mut self, job: &str) {
-        let told = self.ask(reqwest::Method::DELETE, job, None).await;
-        // Without an answer it may be cancelled or not; then nothing is owed.
-        self.book.cancelled(job);
-        if let Told::Status(status @ (404 | 400), _) = told {
-            self.book
-                .broke(format!("LOST {job}: its cancelling got {status}"));
+        let outcome = self.ask(reqwest::Method::DELETE, job, None).await;
+        // Without an answer the job may or may not be cancelled, so it isn't required to end.
+        self.recorder.cancelled(job);
+        if let Outcome::Status(status @ (404 | 400), _) = outcome {
+            self.recorder
+                .record_violation(format!("LOST {job}: its cancelling got {status}"));
         }
     }
 
     async fn check_known(&mut self, job: &str) {
-        let told = self.ask(reqwest::Method::GET, job, None).await;
-        if let Told::Status(status @ (410 | 404), _) = told {
-            self.book.broke(format!(
+        let outcome = self.ask(reqwest::Method::GET, job, None).await;
+        if let Outcome::Status(status @ (410 | 404), _) = outcome {
+            self.recorder.record_violation(format!(
                 "LOST {job}: {status} after its hand-in was accepted"
             ));
         }
     }
 
-    /// One request to any entry host.
-    pub async fn ask(&mut self, method: reqwest::Method, job: &str, body: Option<&Value>) -> Told {
-        let key = self.book.workspaces.key(self.workspace, 0);
+    /// Sends one request to a random entry host, with the newest key.
+    pub async fn ask(
+        &mut self,
+        method: reqwest::Method,
+        job: &str,
+        body: Option<&Value>,
+    ) -> Outcome {
+        let key = self.recorder.workspaces.key(self.workspace, 0);
         self.ask_with(key, method, job, body).await
     }
 
@@ -161,14 +169,14 @@
         method: reqwest::Method,
         job: &str,
         body: Option<&Value>,
-    ) -> Told {
-        let front = self.fronts[self.rng.random_range(0..self.fronts.len())];
+    ) -> Outcome {
+        let front = self.entry_addrs[self.rng.random_range(0..self.entry_addrs.len())];
         let mut req = self
             .client
             .request(method, format!("http://{front}{PREFIX}{job}"))
             .header("Host", HOST)
-            .header("Yuccahold-Deadline-Ms", PATIENCE.as_millis().to_string())
-            .timeout(PATIENCE);
+            .header("Yuccahold-Deadline-Ms", TIMEOUT.as_millis().to_string())
+            .timeout(TIMEOUT);
         if let Some(body) = body {
             req = req.json(body);
         }
@@ -176,18 +184,20 @@
             req = req.bearer_auth(&key.text);
         }
         let Ok(reply) = req.send().await else {
-            return Told::Nothing;
+            return Outcome::NoReply;
         };
         let status = reply.status();
-        let wrong = key.and_then(|key| self.book.workspaces.wrong(&key, status.as_u16()));
-        if let Some(wrong) = wrong {
-            self.book.broke(format!("{wrong}: {job} got {status}"));
+        let violation =
+            key.and_then(|key| self.recorder.workspaces.violation(&key, status.as_u16()));
+        if let Some(violation) = violation {
+            self.recorder
+                .record_violation(format!("{violation}: {job} got {status}"));
         }
         let state = match status {
             StatusCode::OK => reply.json::<Value>().await.ok(),
             _ => None,
         };
         let state = state.and_then(|v| v["state"].as_str().map(ToOwned::to_owned));
-        Told::Status(status.as_u16(), state)
+        Outcome::Status(status.as_u16(), state)
     }
 }
--- a/tests/platform_cell/minion.rs
+++ b/tests/platform_cell/minion.rs
@@ -1,4 +1,4 @@
-//! A minion that takes orders by call, as the platform's minions do, and the policy service.
+//! Simulated minion that takes orders over HTTP as the platform's minions do.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,52 +13,54 @@
 use warp::http::StatusCode;
 use yuccahold::fault::{Fault, TcpProxy};
 
-use super::book::{Book, Need};
+use super::book::{Recorder, Resources};
 use super::payload::Payload;
 use super::policy::listen;
-use super::room::Room;
+use super::room::MinionCapacity;
 
 /// Longest lease in ms.
-pub const LEASE_MAX: u64 = 3_000;
+pub const LEASE_MAX_MS: u64 = 3_000;
 const HEARTBEAT: Duration = Duration::from_millis(300);
 const TICK: Duration = Duration::from_millis(10);
-/// Time between the order to stop a run and its end.
-const STOP_TAKES: u64 = 60;
-/// Time from the start of a task that crashes its minion to the crash, in ms.
-const CRASHES_AFTER: u64 = 10;
-/// Time for which a minion is away that a task has crashed.
-const AWAY: Duration = Duration::from_secs(1);
+/// Time from a stop order to the end of the run, in ms.
+const STOP_TIME_MS: u64 = 60;
+/// Time from the start of a crashing task to the crash of its minion, in ms.
+const CRASH_DELAY_MS: u64 = 10;
+/// Time for which a minion is unreachable after a task has crashed it.
+const DOWN_TIME: Duration = Duration::from_secs(1);
 
 struct Run {
     run: u32,
-    need: Need,
+    need: Resources,
     ends_at: u64,
     how: &'static str,
 }
 
-struct End {
+struct EndedRun {
     number: u64,
     task: String,
     run: u32,
     how: &'static str,
-    /// The lease lapsed before anybody took note of it. By the platform's contract it counts for
-    /// nothing then, whatever is acknowledged later: the system had to take the run for lost.
+    /// The lease expired before the end was acknowledged. By the platform's contract the end is then
+    /// void, even if it is acknowledged later: the system had to treat the run as lost.
     void: bool,
 }
 
 struct State {
     id: String,
-    began: Instant,
-    /// Unix time of its start in ms.
-    born: u64,
-    /// When a task crashes it, by its clock.
+    started_at: Instant,
+    /// Unix time of the start in ms.
+    started_unix_ms: u64,
+    /// Time by its clock at which a task will crash it, if one will.
     crashes_at: Option<u64>,
+    /// Highest fencing token seen.
     token: u64,
+    /// Time by its clock at which the lease expires.
     lease: u64,
     runs: BTreeMap<String, Run>,
-    /// Highest run of each task that was stopped or has ended.
-    past: BTreeMap<String, u32>,
-    ended: Vec<End>,
+    /// Highest run that was stopped or has ended, by task.
+    highest_ended: BTreeMap<String, u32>,
+    ended: Vec<EndedRun>,
     last_end: u64,
     sequence: u64,
     draining: bool,
@@ -68,13 +70,13 @@
     fn new(id: String) -> Self {
         Self {
             id,
-            began: Instant::now(),
-            born: unix_ms(),
+            started_at: Instant::now(),
+            started_unix_ms: unix_ms(),
             crashes_at: None,
             token: 0,
             lease: 0,
             runs: BTreeMap::new(),
-            past: BTreeMap::new(),
+            highest_ended: BTreeMap::new(),
             ended: Vec::new(),
             last_end: 0,
             sequence: 0,
@@ -83,23 +85,23 @@
     }
 
     fn clock(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
     fn extend(&mut self, deadline: u64) {
-        let longest = self.clock() + LEASE_MAX;
+        let longest = self.clock() + LEASE_MAX_MS;
         self.lease = self.lease.max(deadline.min(longest));
     }
 
-    fn end(&mut self, task: &str, how: &'static str, book: &Book) {
+    fn end(&mut self, task: &str, how: &'static str, recorder: &Recorder) {
         let Some(run) = self.runs.remove(task) else {
             return;
         };
-        book.over(task, &self.id, run.need, how == "failed");
-        let past = self.past.entry(task.to_owned()).or_default();
-        *past = run.run.max(*past);
+        recorder.run_ended(task, &self.id, run.need, how == "failed");
+        let highest_ended = self.highest_ended.entry(task.to_owned()).or_default();
+        *highest_ended = run.run.max(*highest_ended);
         self.last_end += 1;
-        self.ended.push(End {
+        self.ended.push(EndedRun {
             number: self.last_end,
             task: task.to_owned(),
             run: run.run,
@@ -140,48 +142,48 @@
     since.expect("a time after 1970").as_millis() as u64
 }
 
-/// Under which name a minion starts again.
+/// Whether a minion restarts under a new instance id or the same one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Name {
+pub enum RestartName {
     New,
     Same,
 }
 
-/// One machine; its incarnations follow each other at one address.
+/// A host that runs one minion instance after another at the same address.
 pub struct Minion {
     state: Mutex<State>,
     changed: Notify,
     name: String,
-    lives: AtomicU64,
-    /// Starts in a hundred that are carried out late and not answered.
+    incarnations: AtomicU64,
+    /// Percentage of start orders that are executed late and not answered.
     late_percent: AtomicU64,
     drawn: AtomicU64,
-    room: Mutex<Room>,
-    /// It has crashed and is not back yet.
+    capacity: Mutex<MinionCapacity>,
+    /// It has crashed and has not recovered yet.
     is_down: AtomicBool,
-    /// Its cell is gone: it reports no more.
-    is_over: AtomicBool,
-    book: Book,
-    /// Where the system reaches it.
+    /// Its cell has ended: it must send no more reports.
+    is_stopped: AtomicBool,
+    recorder: Recorder,
+    /// The address at which the system reaches the minion; tests inject network faults here.
     pub proxy: TcpProxy,
 }
 
 type Answer = (StatusCode, Value);
 
 impl Minion {
-    pub async fn start(number: usize, controls: Vec<SocketAddr>, book: Book) -> Arc<Self> {
+    pub async fn start(number: usize, controls: Vec<SocketAddr>, recorder: Recorder) -> Arc<Self> {
         let proxy = TcpProxy::start(None, number as u64).await.expect("a proxy");
         let minion = Arc::new(Self {
             state: Mutex::new(State::new(format!("i-{number}-0"))),
             changed: Notify::new(),
             name: format!("i-{number}"),
-            lives: AtomicU64::new(0),
+            incarnations: AtomicU64::new(0),
             late_percent: AtomicU64::new(0),
             drawn: AtomicU64::new(number as u64),
-            room: Mutex::new(Room::new(Instant::now())),
+            capacity: Mutex::new(MinionCapacity::new(Instant::now())),
             is_down: AtomicBool::new(false),
-            is_over: AtomicBool::new(false),
-            book,
+            is_stopped: AtomicBool::new(false),
+            recorder,
             proxy,
         });
         let addr = serve(Arc::clone(&minion)).await;
@@ -195,62 +197,62 @@
         self.state.lock().expect("no holder panics")
     }
 
-    /// Has it report no more. Another cell may have the addresses of its own by then.
-    pub fn end_for_good(&self) {
-        self.is_over.store(true, Ordering::Relaxed);
+    /// Stops its reports. Another cell may use the control addresses of this one later.
+    pub fn stop_reporting(&self) {
+        self.is_stopped.store(true, Ordering::Relaxed);
     }
 
-    /// All that runs is gone; another incarnation begins at the same address.
-    pub fn crash(&self, name: Name) {
+    /// Drops all runs and starts another instance at the same address.
+    pub fn crash(&self, name: RestartName) {
         for task in self.lock().runs.keys() {
-            self.book.crashed(task);
+            self.recorder.crashed(task);
         }
-        self.start_again(name);
+        self.restart(name);
     }
 
-    fn start_again(&self, name: Name) {
-        let life = match name {
-            Name::New => self.lives.fetch_add(1, Ordering::Relaxed) + 1,
-            Name::Same => self.lives.load(Ordering::Relaxed),
+    fn restart(&self, name: RestartName) {
+        let incarnation = match name {
+            RestartName::New => self.incarnations.fetch_add(1, Ordering::Relaxed) + 1,
+            RestartName::Same => self.incarnations.load(Ordering::Relaxed),
         };
         let mut state = self.lock();
         for (task, run) in std::mem::take(&mut state.runs) {
-            self.book.over(&task, &state.id, run.need, false);
+            self.recorder.run_ended(&task, &state.id, run.need, false);
         }
-        *state = State::new(format!("{}-{life}", self.name));
+        *state = State::new(format!("{}-{incarnation}", self.name));
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// It crashes and is back after a while, now and then under its former name.
-    async fn crash_for(self: Arc<Self>, away: Duration) {
+    /// Crashes and is unreachable for `down_time`; every other time it keeps its instance id.
+    async fn crash_and_recover(self: Arc<Self>, down_time: Duration) {
         self.is_down.store(true, Ordering::Relaxed);
         self.proxy.apply(Fault::Cut);
         let name = match self.drawn.fetch_add(1, Ordering::Relaxed) % 2 {
-            0 => Name::New,
-            _ => Name::Same,
+            0 => RestartName::New,
+            _ => RestartName::Same,
         };
         self.crash(name);
-        tokio::time::sleep(away).await;
+        tokio::time::sleep(down_time).await;
         self.proxy.apply(Fault::Reopen);
         self.is_down.store(false, Ordering::Relaxed);
     }
 
-    /// Its capacity is a part of what it was at first.
+    /// Sets its capacity to a percentage of the full capacity.
     pub fn resize(&self, percent: u32) {
-        let mut room = self.room.lock().expect("no holder panics");
-        room.resize(percent, Instant::now());
+        let mut capacity = self.capacity.lock().expect("no holder panics");
+        capacity.resize(percent, Instant::now());
     }
 
-    fn room(&self) -> Room {
-        *self.room.lock().expect("no holder panics")
+    fn capacity(&self) -> MinionCapacity {
+        *self.capacity.lock().expect("no holder panics")
     }
 
-    /// Says that it leaves; a while later it is another incarnation.
+    /// Reports that it is draining, and restarts as a new instance after 2 s.
     pub async fn drain(&self) {
         self.lock().draining = true;
         tokio::time::sleep(Duration::from_millis(2_000)).await;
-        self.start_again(Name::New);
+        self.restart(RestartName::New);
     }
 
     pub fn set_late(&self, percent: u64) {
@@ -270,7 +272,7 @@
             let now = state.clock();
             if state.crashes_at.take_if(|at| *at <= now).is_some() {
                 drop(state);
-                tokio::spawn(Arc::clone(&self).crash_for(AWAY));
+                tokio::spawn(Arc::clone(&self).crash_and_recover(DOWN_TIME));
                 continue;
             }
             let lapsed = now > state.lease;
@@ -284,7 +286,7 @@
             let over: Vec<_> = over.map(|(t, r)| (t.clone(), r.how)).collect();
             for (task, how) in &over {
                 let how = if lapsed { "lapsed" } else { how };
-                state.end(task, how, &self.book);
+                state.end(task, how, &self.recorder);
             }
             drop(state);
             if !over.is_empty() {
@@ -296,12 +298,12 @@
     async fn report(self: Arc<Self>, controls: Vec<SocketAddr>) {
         let client = reqwest::Client::new();
         let mut next = 0;
-        while !self.is_over.load(Ordering::Relaxed) {
+        while !self.is_stopped.load(Ordering::Relaxed) {
             if self.is_down.load(Ordering::Relaxed) {
                 tokio::time::sleep(HEARTBEAT).await;
                 continue;
             }
-            let room = self.room().now;
+            let capacity = self.capacity().now;
             let (id, body) = {
                 let mut state = self.lock();
                 state.sequence += 1;
@@ -310,10 +312,10 @@
                     "version": "v1", "slots": 8,
                     "state": if state.draining { "draining" } else { "ready" },
                     "capacity": {
-                        "cpu": room.millicores, "mem_mb": room.memory_mb, "gpu": 0,
+                        "cpu": capacity.millicores, "mem_mb": capacity.memory_mb, "gpu": 0,
                     },
                     "labels": ["a", "r1-1"], "clock_ms": state.clock(), "seq": state.sequence,
-                    "born": state.born,
+                    "born": state.started_unix_ms,
                 });
                 (state.id.clone(), body)
             };
@@ -335,8 +337,8 @@
         (StatusCode::CONFLICT, body)
     }
 
-    /// The token of an order, and the incarnation that it is meant for.
-    fn admit(state: &mut State, id: &str, token: u64) -> Result<(), Answer> {
+    /// Refuses orders for another instance or with an old fencing token.
+    fn check_order(state: &mut State, id: &str, token: u64) -> Result<(), Answer> {
         if id != state.id {
             return Err((StatusCode::MISDIRECTED_REQUEST, json!({})));
         }
@@ -349,7 +351,7 @@
 
     fn begin(&self, id: &str, body: &StartBody) -> Answer {
         let mut state = self.lock();
-        if let Err(refused) = Self::admit(&mut state, id, body.fencing_token) {
+        if let Err(refused) = Self::check_order(&mut state, id, body.fencing_token) {
             return refused;
         }
         let clock = state.clock();
@@ -359,9 +361,9 @@
         }
         state.extend(body.deadline_ms);
         if state
-            .past
+            .highest_ended
             .get(&body.task)
-            .is_some_and(|past| *past >= body.run)
+            .is_some_and(|highest_ended| *highest_ended >= body.run)
         {
             return Self::refused(clock, "old");
         }
@@ -376,15 +378,15 @@
         let run = Run {
             run: body.run,
             need: order.need,
-            ends_at: clock + order.takes,
-            how: order.ends(&body.task, body.run),
+            ends_at: clock + order.duration_ms,
+            how: order.outcome(&body.task, body.run),
         };
-        let room = self.room().granted(Instant::now());
-        self.book
-            .started(&body.task, body.run, &state.id, run.need, room);
+        let capacity = self.capacity().granted(Instant::now());
+        self.recorder
+            .run_started(&body.task, body.run, &state.id, run.need, capacity);
         if order.crashes {
-            self.book.started_crasher(&body.task);
-            state.crashes_at = Some(clock + CRASHES_AFTER);
+            self.recorder.started_crasher(&body.task);
+            state.crashes_at = Some(clock + CRASH_DELAY_MS);
         }
         state.runs.insert(body.task.clone(), run);
         ok
@@ -397,23 +399,23 @@
         let wait = 500 + u64::from(body.run) * 331 % 2_500;
         tokio::time::sleep(Duration::from_millis(wait)).await;
         self.begin(&id, &body);
-        // Whoever asked has given up long ago.
+        // The sender's timeout has passed long before.
         tokio::time::sleep(Duration::from_secs(5)).await;
         (StatusCode::SERVICE_UNAVAILABLE, json!({}))
     }
 
     async fn run_stop(self: Arc<Self>, id: String, body: StopBody) -> Answer {
         let mut state = self.lock();
-        if let Err(refused) = Self::admit(&mut state, &id, body.fencing_token) {
+        if let Err(refused) = Self::check_order(&mut state, &id, body.fencing_token) {
             return refused;
         }
         let clock = state.clock();
-        let past = state.past.entry(body.task.clone()).or_default();
-        *past = body.run.max(*past);
+        let highest_ended = state.highest_ended.entry(body.task.clone()).or_default();
+        *highest_ended = body.run.max(*highest_ended);
         if let Some(run) = state.runs.get_mut(&body.task)
             && run.run <= body.run
         {
-            run.ends_at = run.ends_at.min(clock + STOP_TAKES);
+            run.ends_at = run.ends_at.min(clock + STOP_TIME_MS);
             run.how = "stopped";
         }
         (StatusCode::OK, json!({"clock_ms": clock}))
@@ -423,12 +425,12 @@
         let until = Instant::now() + Duration::from_millis(body.wait_ms);
         {
             let mut state = self.lock();
-            if let Err(refused) = Self::admit(&mut state, &id, body.fencing_token) {
+            if let Err(refused) = Self::check_order(&mut state, &id, body.fencing_token) {
                 return refused;
             }
             for end in &state.ended {
                 if end.number <= body.acked_upto && end.how == "done" && !end.void {
-                    self.book.noted_done(&end.task);
+                    self.recorder.done_acknowledged(&end.task);
                 }
             }
             state.ended.retain(|end| end.number > body.acked_upto);
@@ -440,11 +442,11 @@
             let changed = self.changed.notified();
             {
                 let mut state = self.lock();
-                if let Err(refused) = Self::admit(&mut state, &id, body.fencing_token) {
+                if let Err(refused) = Self::check_order(&mut state, &id, body.fencing_token) {
                     return refused;
                 }
                 if !state.ended.is_empty() || Instant::now() >= until {
-                    return (StatusCode::OK, lists(&state));
+                    return (StatusCode::OK, listing(&state));
                 }
             }
             let left = until.saturating_duration_since(Instant::now());
@@ -453,7 +455,7 @@
     }
 }
 
-fn lists(state: &State) -> Value {
+fn listing(state: &State) -> Value {
     let running: Vec<_> = state
         .runs
         .iter()
@@ -466,7 +468,7 @@
         .map(|end| json!([end.number, end.task, end.run, end.how, ""]))
         .collect();
     json!({
-        "born": state.born, "clock_ms": state.clock(), "running": running, "ended": ended,
+        "born": state.started_unix_ms, "clock_ms": state.clock(), "running": running, "ended": ended,
     })
 }
 
@@ -475,21 +477,21 @@
 }
 
 async fn serve(minion: Arc<Minion>) -> SocketAddr {
-    let here = warp::any().map(move || Arc::clone(&minion));
-    let named = || warp::header::<String>("yuccahold-expect-instance");
+    let with_minion = warp::any().map(move || Arc::clone(&minion));
+    let instance_id = || warp::header::<String>("yuccahold-expect-instance");
     let start = warp::path!("yuccahold" / "run-start")
-        .and(here.clone())
-        .and(named())
+        .and(with_minion.clone())
+        .and(instance_id())
         .and(warp::body::json())
         .then(|m: Arc<Minion>, id, body| async move { reply(m.run_start(id, body).await) });
     let stop = warp::path!("yuccahold" / "run-stop")
-        .and(here.clone())
-        .and(named())
+        .and(with_minion.clone())
+        .and(instance_id())
         .and(warp::body::json())
         .then(|m: Arc<Minion>, id, body| async move { reply(m.run_stop(id, body).await) });
     let hold = warp::path!("yuccahold" / "hold")
-        .and(here)
-        .and(named())
+        .and(with_minion)
+        .and(instance_id())
         .and(warp::body::json())
         .then(|m: Arc<Minion>, id, body| async move { reply(m.hold(id, body).await) });
     listen(start.or(stop).or(hold)).await
--- a/tests/platform_cell/mod.rs
+++ b/tests/platform_cell/mod.rs
@@ -1,5 +1,5 @@
-//! A whole system on the platform as real processes, with minions, a policy service, callers and
-//! an operator that a test plays. Every process has a loopback address of its own.
+//! A whole system in platform mode: real daemon processes, each with a loopback address of its own,
+//! with simulated minions, policy service, callers and operator.
 
 #![allow(dead_code)]
 
@@ -23,17 +23,17 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use book::{ATTEMPTS, Book};
+use book::{ATTEMPTS, Recorder};
 use caller::{HOST, PREFIX};
-use minion::{LEASE_MAX, Minion};
+use minion::{LEASE_MAX_MS, Minion};
 
-/// Time for processes to come up, or for a condition to hold, on a machine that is busy.
+/// Longest wait for processes to start, or for a condition to hold, on a busy host.
 pub const DEADLINE: Duration = Duration::from_secs(60);
-const FRONT: u16 = 20_010;
-const READY: u16 = 20_011;
-const CONTROL: u16 = 20_012;
+const ENTRY_PORT: u16 = 20_010;
+const READY_PORT: u16 = 20_011;
+const CONTROL_PORT: u16 = 20_012;
 
-pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
+pub async fn wait_for(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let end = Instant::now() + DEADLINE;
     while !condition().await {
         assert!(Instant::now() < end, "waited too long for {what}");
@@ -48,7 +48,7 @@
     Entry,
 }
 
-/// One process; started, paused and ended by its id.
+/// One daemon process; signals go to its process id.
 pub struct Process {
     pub role: Role,
     ip: Ipv4Addr,
@@ -60,7 +60,7 @@
     fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
             let pid = Pid::from_raw(child.id() as i32).expect("a process id");
-            // A process that has just ended by itself shows when it is started again.
+            // A failure is ignored: the process may have just exited by itself.
             let _ = kill_process(pid, signal);
         }
     }
@@ -73,7 +73,7 @@
         self.signal(Signal::CONT);
     }
 
-    /// Tells it that its settings have changed.
+    /// Sends SIGHUP, which makes it reload its settings.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Asks it to end and kills it once `grace` is over, as the platform does.
+    /// Sends SIGTERM, and SIGKILL after `grace`, as the platform does.
     pub async fn terminate(&mut self, grace: Duration) {
         self.signal(Signal::TERM);
         let Some(mut child) = self.child.take() else {
@@ -121,7 +121,7 @@
         self.child = Some(child);
     }
 
-    /// Its disk is gone; the next start is that of a new replica.
+    /// Deletes its data, so that it next starts as a new replica.
     pub fn wipe(&self) {
         let data = self.folder.join("data");
         std::fs::remove_dir_all(&data).expect("a data folder");
@@ -138,23 +138,23 @@
     }
 }
 
-/// The system and all around it.
+/// The daemons and everything that they communicate with.
 pub struct System {
     pub folder: PathBuf,
     pub processes: Vec<Process>,
     pub minions: Vec<Arc<Minion>>,
-    pub book: Book,
+    pub recorder: Recorder,
     policy: SocketAddr,
     client: reqwest::Client,
     version: u64,
-    /// Highest configuration that was acknowledged.
+    /// Highest configuration version that was acknowledged.
     acknowledged: u64,
 }
 
 impl Drop for System {
     fn drop(&mut self) {
         for minion in &self.minions {
-            minion.end_for_good();
+            minion.stop_reporting();
         }
     }
 }
@@ -162,7 +162,8 @@
 impl System {
     pub async fn start(name: &str, controls: usize, entries: usize, minions: usize) -> Self {
         static CELLS: AtomicU8 = AtomicU8::new(0);
-        // Each cell has 16 addresses of 256; the first one's are free again by the seventeenth.
+        // Each cell uses 16 of 256 addresses. The seventeenth cell reuses those of the first, which
+        // has ended by then.
         let cell = CELLS.fetch_add(1, Ordering::Relaxed) % 16;
         let [.., b, c] = std::process::id().to_be_bytes();
         let ip = |i: usize| Ipv4Addr::new(127, 128 | b, c, 1 + cell * 16 + i as u8);
@@ -184,7 +185,7 @@
             processes: roles.enumerate().map(process).collect(),
             folder,
             minions: Vec::new(),
-            book: Book::default(),
+            recorder: Recorder::default(),
             policy: policy::serve_policy().await,
             client: reqwest::Client::new(),
             version: 0,
@@ -194,26 +195,28 @@
         system.processes.iter_mut().for_each(Process::start);
         let addrs = system.controls();
         for i in 0..minions {
-            let minion = Minion::start(i, addrs.clone(), system.book.clone()).await;
+            let minion = Minion::start(i, addrs.clone(), system.recorder.clone()).await;
             system.minions.push(minion);
         }
         system.put_config().await;
         system
     }
 
-    /// Writes the settings of every process; after the first start none forms a group.
+    /// Writes the settings of all processes. With `first`, one of them forms the replication group.
     pub fn write_settings(&self, first: bool) {
         let controls = self.controls();
         let seeds: Vec<_> = controls.iter().take(3).map(ToString::to_string).collect();
         for process in &self.processes {
             let ip = process.ip;
             let listen = match process.role {
-                Role::Control => format!("listen.control={ip}:{CONTROL}\n"),
-                Role::Entry => format!("listen.front={ip}:{FRONT}\nlisten.ready={ip}:{READY}\n"),
+                Role::Control => format!("listen.control={ip}:{CONTROL_PORT}\n"),
+                Role::Entry => {
+                    format!("listen.front={ip}:{ENTRY_PORT}\nlisten.ready={ip}:{READY_PORT}\n")
+                }
             };
             let text = format!(
                 "node=n-{ip}\nip={ip}\nzone=z-a\n{listen}port_range=20020,20035\nseeds={}\n\
-                 bootstrap={first}\ndata_dir={}\nbounds.hold_max_ms={LEASE_MAX}\n\
+                 bootstrap={first}\ndata_dir={}\nbounds.hold_max_ms={LEASE_MAX_MS}\n\
                  bounds.grace_s=2\nadvice={}\n",
                 seeds.join(","),
                 process.folder.join("data").display(),
@@ -229,11 +232,11 @@
     }
 
     pub fn controls(&self) -> Vec<SocketAddr> {
-        self.addrs(Role::Control, CONTROL)
+        self.addrs(Role::Control, CONTROL_PORT)
     }
 
-    pub fn fronts(&self) -> Vec<SocketAddr> {
-        self.addrs(Role::Entry, FRONT)
+    pub fn entry_addrs(&self) -> Vec<SocketAddr> {
+        self.addrs(Role::Entry, ENTRY_PORT)
     }
 
     fn document(&self) -> Value {
@@ -247,20 +250,20 @@
             }],
             "services": [{"name": "desk", "health_path": "/health", "max_conns": 64}],
         });
-        if let Some(workspaces) = self.book.workspaces.document() {
+        if let Some(workspaces) = self.recorder.workspaces.document() {
             document["tenants"] = workspaces;
         }
         document
     }
 
-    /// Puts a further version in force: sends it until it is acknowledged.
+    /// Sends the next configuration version until it is acknowledged.
     pub async fn put_config(&mut self) {
         self.version += 7;
         let document = self.document();
         let controls = self.controls();
         let mut next = self.version as usize;
         let client = self.client.clone();
-        until("a configuration to be acknowledged", async || {
+        wait_for("a configuration to be acknowledged", async || {
             next += 1;
             let url = format!(
                 "http://{}/yuccahold/config",
@@ -274,10 +277,10 @@
         })
         .await;
         self.acknowledged = self.version;
-        self.book.workspaces.acknowledged();
+        self.recorder.workspaces.acknowledged();
     }
 
-    /// Version of the configuration that the system gives back; none when nobody can be sure.
+    /// Version of the configuration that the system returns; `None` when no control daemon answers.
     pub async fn config_version(&self) -> Option<u64> {
         for control in self.controls() {
             let url = format!("http://{control}/yuccahold/config");
@@ -292,14 +295,14 @@
         None
     }
 
-    /// A configuration that was acknowledged is never read back older.
+    /// Records a violation when the system returns a configuration older than the acknowledged one.
     pub async fn check_config(&self) {
         if let Some(version) = self.config_version().await
             && version < self.acknowledged
         {
             let acknowledged = self.acknowledged;
             let text = format!("CONFIG {version} was read after {acknowledged} was acknowledged");
-            self.book.broke(text);
+            self.recorder.record_violation(text);
         }
     }
 }
--- a/tests/platform_cell/policy.rs
+++ b/tests/platform_cell/policy.rs
@@ -1,4 +1,4 @@
-//! The policy service.
+//! Simulated policy service, and the HTTP server that it shares with simulated minions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use serde_json::json;
 use warp::Filter;
 
-/// Serves a policy that lets each step run on two minions in three.
+/// Serves a policy that allows each step on about two thirds of the minions.
 pub async fn serve_policy() -> SocketAddr {
     #[derive(Deserialize)]
     struct Question {
@@ -32,7 +32,7 @@
     listen(advise).await
 }
 
-/// Serves these routes at a free port.
+/// Serves these routes on a free port.
 pub async fn listen<F>(routes: F) -> SocketAddr
 where
     F: Filter<Error = warp::Rejection> + Clone + Send + Sync + 'static,
--- a/tests/platform_cell/room.rs
+++ b/tests/platform_cell/room.rs
@@ -1,47 +1,47 @@
-//! Room of a minion that shrinks and grows.
+//! Capacity of a simulated minion that can be resized.
 
 use std::time::{Duration, Instant};
 
-use super::book::{CAPACITY, Need};
+use super::book::{FULL_CAPACITY, Resources};
 
-/// Time for which room that has shrunk may still be filled.
+/// Time after a resize during which runs may still use the previous, larger capacity.
 const RESIZE_NOTICE: Duration = Duration::from_millis(3_300);
 
-/// What a minion has room for, and what it had before that still counts.
+/// Current capacity of a minion, and the previous one while starts may still rely on it.
 #[derive(Clone, Copy)]
-pub struct Room {
-    pub now: Need,
-    before: Need,
-    /// When the former room counts no longer.
+pub struct MinionCapacity {
+    pub now: Resources,
+    before: Resources,
+    /// Time from which the previous capacity no longer counts.
     until: Instant,
 }
 
-impl Room {
+impl MinionCapacity {
     pub fn new(now: Instant) -> Self {
         Self {
-            now: CAPACITY,
-            before: CAPACITY,
+            now: FULL_CAPACITY,
+            before: FULL_CAPACITY,
             until: now,
         }
     }
 
-    /// It becomes a part of what it was at first.
+    /// Sets the capacity to a percentage of the full capacity.
     pub fn resize(&mut self, percent: u32, now: Instant) {
         let part = |full: u32| full * percent / 100;
         self.before = self.granted(now);
-        self.now = Need {
-            millicores: part(CAPACITY.millicores),
-            memory_mb: part(CAPACITY.memory_mb),
+        self.now = Resources {
+            millicores: part(FULL_CAPACITY.millicores),
+            memory_mb: part(FULL_CAPACITY.memory_mb),
         };
         self.until = now + RESIZE_NOTICE;
     }
 
-    /// What a start may fill.
-    pub fn granted(&self, now: Instant) -> Need {
+    /// Capacity that starts may use at this time.
+    pub fn granted(&self, now: Instant) -> Resources {
         if now >= self.until {
             return self.now;
         }
-        Need {
+        Resources {
             millicores: self.now.millicores.max(self.before.millicores),
             memory_mb: self.now.memory_mb.max(self.before.memory_mb),
         }
--- a/tests/platform_cell/workspaces.rs
+++ b/tests/platform_cell/workspaces.rs
@@ -5,54 +5,56 @@
 
 use serde_json::{Value, json};
 
-/// Time after the acknowledgement of a lowered limit for which the former one counts too.
+/// Time after the acknowledgement of a lowered limit during which the previous one still counts.
 const LIMIT_NOTICE: Duration = Duration::from_millis(2_500);
 
-/// One workspace.
 #[derive(Clone, Debug)]
 struct Workspace {
-    /// Counts the keys that it has had; the last one is in force.
+    /// Number of its newest key, which is the valid one.
     key: u32,
-    /// Thousandths of a core that it may have running.
+    /// Millicores that its runs may use at the same time.
     limit: u32,
-    /// A higher one that still counts, and until when; for good while the change is on its way.
+    /// Previous limit, and the time until which it counts; no end while the change is not
+    /// acknowledged.
     before: (u32, Option<Instant>),
+    /// Millicores that its runs use now.
     used: u32,
 }
 
 #[derive(Debug, Default)]
-struct All {
+struct State {
     workspaces: Vec<Workspace>,
-    /// A change was sent and is not acknowledged.
+    /// A change was made that is not acknowledged yet.
     changing: bool,
+    /// Number of acknowledged configurations.
     changes: u32,
 }
 
-/// Shared record of all workspaces; without any, callers need no keys.
+/// State of all workspaces, shared by callers and minions; without workspaces no keys are needed.
 #[derive(Clone, Debug, Default)]
-pub struct Workspaces(Arc<Mutex<All>>);
+pub struct Workspaces(Arc<Mutex<State>>);
 
-/// A key as it was when a call was sent.
+/// A key and its validity at the time when a request was sent.
 #[derive(Clone, Debug)]
 pub struct SentKey {
     pub text: String,
-    /// Whether it was in force for sure.
-    good: bool,
-    /// Whether it was taken away for sure, or never given.
-    bad: bool,
+    /// Whether it was certainly valid.
+    valid: bool,
+    /// Whether it was certainly revoked, or never issued.
+    invalid: bool,
     changes: u32,
 }
 
-fn text(workspace: usize, key: u32) -> String {
+fn key_text(workspace: usize, key: u32) -> String {
     format!("key-{workspace}-{key}")
 }
 
 impl Workspaces {
-    fn lock(&self) -> MutexGuard<'_, All> {
+    fn lock(&self) -> MutexGuard<'_, State> {
         self.0.lock().expect("no holder panics")
     }
 
-    /// Makes workspaces with these limits.
+    /// Creates workspaces with these limits in millicores.
     pub fn create(&self, limits: &[u32]) {
         self.lock().workspaces = limits
             .iter()
@@ -65,76 +67,78 @@
             .collect();
     }
 
-    /// What the configuration says of them; `None` without any.
+    /// The `tenants` section of the configuration; `None` when there are no workspaces.
     pub fn document(&self) -> Option<Value> {
-        let all = self.lock();
-        let each = all.workspaces.iter().enumerate().map(|(i, w)| {
-            json!({"name": format!("workspace-{i}"), "api_keys": [text(i, w.key)],
+        let state = self.lock();
+        let each = state.workspaces.iter().enumerate().map(|(i, w)| {
+            json!({"name": format!("workspace-{i}"), "api_keys": [key_text(i, w.key)],
                 "weight": 4, "max_count": {"cpu": w.limit, "mem_mb": 0, "gpu": 0}})
         });
-        (!all.workspaces.is_empty()).then(|| each.collect())
+        (!state.workspaces.is_empty()).then(|| each.collect())
     }
 
-    /// Takes the key of a workspace away and gives it another, before that is sent.
+    /// Replaces the key of a workspace; called before the configuration is sent.
     pub fn replace_key(&self, workspace: usize) {
-        let mut all = self.lock();
-        all.changing = true;
-        all.workspaces[workspace].key += 1;
+        let mut state = self.lock();
+        state.changing = true;
+        state.workspaces[workspace].key += 1;
     }
 
-    /// Changes a limit, before that is sent.
+    /// Changes a limit; called before the configuration is sent.
     pub fn set_limit(&self, workspace: usize, limit: u32) {
-        let mut all = self.lock();
-        all.changing = true;
-        let workspace = &mut all.workspaces[workspace];
+        let mut state = self.lock();
+        state.changing = true;
+        let workspace = &mut state.workspaces[workspace];
         workspace.before = (workspace.allowed(Instant::now()), None);
         workspace.limit = limit;
     }
 
-    /// All that was changed is acknowledged.
+    /// Records that the configuration with all changes was acknowledged.
     pub fn acknowledged(&self) {
-        let mut all = self.lock();
-        all.changing = false;
-        all.changes += 1;
+        let mut state = self.lock();
+        state.changing = false;
+        state.changes += 1;
         let until = Instant::now() + LIMIT_NOTICE;
-        for workspace in &mut all.workspaces {
+        for workspace in &mut state.workspaces {
             workspace.before.1.get_or_insert(until);
         }
     }
 
     /// The newest key of a workspace, or one `age` keys older.
     pub fn key(&self, workspace: usize, age: u32) -> Option<SentKey> {
-        let all = self.lock();
-        let newest = all.workspaces.get(workspace)?.key;
+        let state = self.lock();
+        let newest = state.workspaces.get(workspace)?.key;
         Some(SentKey {
-            text: text(workspace, newest.saturating_sub(age)),
-            good: age == 0 && !all.changing,
-            bad: age > 1 || (age == 1 && !all.changing),
-            changes: all.changes,
+            text: key_text(workspace, newest.saturating_sub(age)),
+            valid: age == 0 && !state.changing,
+            invalid: age > 1 || (age == 1 && !state.changing),
+            changes: state.changes,
         })
     }
 
-    /// What is wrong with an answer to a call that was sent with this key.
-    pub fn wrong(&self, sent: &SentKey, status: u16) -> Option<&'static str> {
-        let all = self.lock();
-        let steady = !all.changing && all.changes == sent.changes;
+    /// Violation shown by the status of the answer to a request with this key, if any.
+    pub fn violation(&self, sent: &SentKey, status: u16) -> Option<&'static str> {
+        let state = self.lock();
+        let unchanged = !state.changing && state.changes == sent.changes;
         match status {
-            200..=299 | 410 if sent.bad => Some("CONFIG served with a key that is not in force"),
-            401 if sent.good && steady => Some("CONFIG refused with a key that is in force"),
+            200..=299 | 410 if sent.invalid => {
+                Some("CONFIG served with a key that is not in force")
+            }
+            401 if sent.valid && unchanged => Some("CONFIG refused with a key that is in force"),
             _ => None,
         }
     }
 
-    /// A run of a workspace has begun; false if that is more than it may have.
-    pub fn begun(&self, workspace: usize, millicores: u32) -> bool {
-        let mut all = self.lock();
-        let workspace = &mut all.workspaces[workspace];
+    /// Records the start of a run; false when the workspace is then above its limit.
+    pub fn run_started(&self, workspace: usize, millicores: u32) -> bool {
+        let mut state = self.lock();
+        let workspace = &mut state.workspaces[workspace];
         workspace.used += millicores;
         workspace.used <= workspace.allowed(Instant::now())
     }
 
-    /// A run of a workspace is over.
-    pub fn over(&self, workspace: usize, millicores: u32) {
+    /// Records the end of a run.
+    pub fn run_ended(&self, workspace: usize, millicores: u32) {
         self.lock().workspaces[workspace].used -= millicores;
     }
 }
--- a/tests/platform_decoders.rs
+++ b/tests/platform_decoders.rs
@@ -1,4 +1,5 @@
-//! What the platform sends is either understood in full or refused with one sentence.
+//! Parsers of the platform's documents: valid ones are parsed completely, invalid ones refused with
+//! one sentence.
 
 use std::time::Duration;
 
@@ -27,7 +28,7 @@
     bounds.grace_s=6\nbounds.hold_max_ms=6000\n";
 
 #[test]
-fn the_contracts_examples_are_understood() {
+fn the_contracts_examples_are_parsed() {
     let job = decode_job(JOB.as_bytes()).expect("a job");
     let config = decode_config(CONFIG.into()).expect("a configuration");
     let report = decode_report("i-1", REPORT.as_bytes()).expect("a report");
@@ -48,7 +49,7 @@
 #[case::field_twice(r#"{"spec":"a","spec":"b","steps":[{"count":1}]}"#)]
 #[case::cut_short(r#"{"spec":"a","steps":[{"count":1}"#)]
 #[case::not_text("\u{0}")]
-fn a_job_that_makes_no_sense_is_refused(#[case] body: &str) {
+fn an_invalid_job_is_refused(#[case] body: &str) {
     assert!(decode_job(body.as_bytes()).is_err());
 }
 
@@ -65,7 +66,8 @@
     CONFIG.replacen('{', &format!(r#"{{"tenants":[{tenants}],"#), 1)
 }
 
-/// A key of two workspaces, or nonsense about them, comes in force, or its refusal shows a key.
+/// Guards against a configuration that gives one key to two workspaces or has invalid workspaces,
+/// and against refusals that show a key.
 #[rstest]
 #[case::shared_key(r#"{"name":"a","api_keys":["secret"]},{"name":"b","api_keys":["secret"]}"#)]
 #[case::name_twice(r#"{"name":"a","api_keys":["secret"]},{"name":"a"}"#)]
@@ -77,7 +79,7 @@
 #[case::weight_absurd(r#"{"name":"a","api_keys":["secret"],"weight":1e300}"#)]
 #[case::limit_negative(r#"{"name":"a","api_keys":["secret"],"max_count":{"cpu":-5}}"#)]
 #[case::limit_absurd(r#"{"name":"a","api_keys":["secret"],"max_count":{"cpu":5000000000}}"#)]
-fn tenants_that_make_no_sense_are_refused(#[case] tenants: &str) {
+fn invalid_tenants_are_refused(#[case] tenants: &str) {
     let why = decode_config(with_tenants(tenants).into()).expect_err("refused");
     assert!(!why.contains("secret"), "{why}");
 }
@@ -87,14 +89,14 @@
 #[case::without_keys(r#"{"name":"a"}"#)]
 #[case::key_listed_twice(r#"{"name":"a","api_keys":["secret","secret"],"weight":14}"#)]
 #[case::no_limit(r#"{"name":"a","api_keys":["x"],"max_count":{"cpu":0,"mem_mb":0,"gpu":0}}"#)]
-fn tenants_are_understood(#[case] tenants: &str) {
+fn valid_tenants_are_accepted(#[case] tenants: &str) {
     let order = decode_config(with_tenants(tenants).into()).expect("understood");
     let parsed = format!("{:?}", order.parsed);
     assert!(!parsed.contains("secret"), "{parsed}");
 }
 
 #[test]
-fn two_routes_in_one_place_are_refused() {
+fn two_routes_with_one_prefix_are_refused() {
     let route = &CONFIG[CONFIG.find(r#"{"name":"r""#).expect("a route")..];
     let route = &route[..route.find("}}]").expect("its end") + 2];
     let twice = CONFIG.replace(route, &format!("{route},{route}"));
@@ -102,7 +104,7 @@
 }
 
 #[test]
-fn all_that_is_wrong_with_the_settings_is_told_together() {
+fn all_problems_of_the_settings_are_reported() {
     assert!(Boot::parse(BOOT).is_ok());
     let wrong = BOOT
         .replace("ip=10.1.0.15\n", "ip=here\n")
@@ -112,9 +114,9 @@
     insta::assert_debug_snapshot!(problems);
 }
 
-/// Bodies with bytes changed, cut and doubled: refused or understood, never a panic.
+/// Bodies with random bytes replaced, inserted and cut off: refused or accepted, never a panic.
 #[test]
-fn damaged_bodies_never_end_the_process() {
+fn damaged_bodies_never_cause_a_panic() {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     for round in 0..6_000 {
         let whole = [JOB, CONFIG, REPORT, BOOT][round % 4].as_bytes();
@@ -138,8 +140,8 @@
     assert!(decode_job(deep.as_bytes()).is_err());
 }
 
-/// Another program reports under a path of minions. With what it leaves out taken for zero or
-/// empty it would be held and called like a minion; it is refused, and the next report holds.
+/// Guards against taking another program for a minion. If missing fields of its report were zero or
+/// empty by default, the scheduler would send holds and orders to it.
 #[rstest]
 #[case::no_capacity(&REPORT.replace(r#""capacity":{"cpu":16000,"mem_mb":32768,"gpu":0},"#, ""))]
 #[case::half_a_capacity(&REPORT.replace(r#""cpu":16000,"#, ""))]
@@ -157,20 +159,20 @@
 #[case::unknown_state(&REPORT.replace("draining", "asleep"))]
 #[case::a_list("[]")]
 #[case::not_text("\u{0}")]
-fn a_report_that_is_no_minions_is_refused(#[case] body: &str) {
+fn an_invalid_report_is_refused(#[case] body: &str) {
     assert_ne!(body, REPORT);
     assert!(decode_report("i-1", body.as_bytes()).is_err());
 }
 
-/// A minion lists one row of an unknown shape. The rows beside it hold, and it is counted: a run
-/// that is hidden by it must not be taken for ended.
+/// A minion lists one row that can't be parsed. The other rows are used, and the row is counted: the
+/// run that it stands for must not be treated as ended.
 #[rstest]
 #[case::short_row(r#"["a.0.0.0"]"#)]
 #[case::number_for_a_name(r#"[7,1,"",5,0]"#)]
 #[case::no_task_name(r#"["somewhere",1,"",5,0]"#)]
 #[case::table(r#"{"task":"x"}"#)]
 #[case::nothing("null")]
-fn one_unreadable_row_costs_that_row_alone(#[case] row: &str) {
+fn one_unreadable_row_does_not_affect_the_others(#[case] row: &str) {
     let good = r#"["00000000000000aa.0.0.1",2,"saved",40,0]"#;
     let end = r#"[3,"00000000000000aa.0.0.2",1,"done",""]"#;
     let body = format!(r#"{{"clock_ms":5,"running":[{row},{good}],"ended":[{end},{row}]}}"#);
@@ -186,10 +188,13 @@
 }
 
 #[rstest]
-#[case::told(r#","born":1700000000123"#, Some(1_700_000_000_123))]
-#[case::not_told("", None)]
+#[case::given(r#","born":1700000000123"#, Some(1_700_000_000_123))]
+#[case::absent("", None)]
 #[case::of_another_type(r#","born":"now""#, None)]
-fn a_listing_tells_when_its_minion_started(#[case] born: &str, #[case] started: Option<u64>) {
+fn a_listing_contains_the_start_time_of_its_minion(
+    #[case] born: &str,
+    #[case] started: Option<u64>,
+) {
     let body = format!(r#"{{"clock_ms":5{born},"running":[],"ended":[]}}"#);
     let listing = decode_listing(body.as_bytes()).expect("an answer");
     assert_eq!(listing.started, started.map(Duration::from_millis));
@@ -200,24 +205,25 @@
 #[case::clock_of_another_type(r#"{"clock_ms":"late","running":[],"ended":[]}"#)]
 #[case::no_list(r#"{"clock_ms":5,"running":7,"ended":[]}"#)]
 #[case::cut_short(r#"{"clock_ms":5,"running":["#)]
-fn what_is_no_listing_is_not_taken_for_an_empty_one(#[case] body: &str) {
+fn an_invalid_listing_is_not_treated_as_an_empty_one(#[case] body: &str) {
     assert!(decode_listing(body.as_bytes()).is_none());
 }
 
-/// One row of the policy service's answer has no ticket; the other lets its minion run the step.
+/// One row of the policy service's answer has no readable ticket; the other row stays valid.
 #[rstest]
 #[case::no_ticket(r#"["i-2"]"#)]
 #[case::number_for_a_ticket(r#"["i-2",7]"#)]
 #[case::nothing("null")]
-fn a_ticket_that_cannot_be_read_costs_that_minion_alone(#[case] row: &str) {
+fn an_unreadable_ticket_affects_only_its_minion(#[case] row: &str) {
     let body = format!(r#"{{"good":[{row},["i-1","t"]]}}"#);
     let advice = decode_advice(body.as_bytes()).expect("an answer");
     assert_eq!(advice.good, [("i-1".into(), "t".into())]);
 }
 
-/// A seed that is no address names nobody; the daemon starts with the others.
+/// A seed that is not an address is ignored, and the daemon starts with the others; without any
+/// valid seed it refuses to start.
 #[test]
-fn a_seed_that_is_no_address_costs_that_seed_alone() {
+fn a_seed_that_is_not_an_address_is_ignored() {
     let one_bad = BOOT.replace("10.1.0.15:8166,10.2", "nowhere,10.2");
     let boot = Boot::parse(&one_bad).expect("one seed is left");
     assert_eq!(boot.unreadable_seeds, ["nowhere"]);
@@ -225,7 +231,7 @@
     assert!(Boot::parse(&none).is_err());
 }
 
-/// Mechanisms are switched off by name; an unknown one or another argument refuses the start.
+/// Unknown mechanisms and other arguments are refused.
 #[rstest]
 #[case::none(&[], Some(""))]
 #[case::two(&["--without", "claims,preemption"], Some("claims preemption"))]
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The daemons' settings: examples, defaults and refusals.
+//! The daemons' settings files: examples, defaults, reference page and reported problems.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
         .join(name)
 }
 
-/// The example without what stands under "Defaults".
+/// The text of an example without its section "Defaults".
 fn without_defaults(name: &str) -> String {
     let text = std::fs::read_to_string(example(name)).unwrap();
     let (given, defaults) = text.split_once("# Defaults").unwrap();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_entry_example_shows_the_true_defaults() {
+fn the_entry_example_shows_the_actual_defaults() {
     let text = std::fs::read_to_string(example("entry.yaml")).unwrap();
     let full = settings::parse_entry("entry.yaml", &text).unwrap();
     let short = settings::parse_entry("entry.yaml", &without_defaults("entry.yaml")).unwrap();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_control_example_shows_the_true_defaults() {
+fn the_control_example_shows_the_actual_defaults() {
     let text = std::fs::read_to_string(example("control.yaml")).unwrap();
     let full = settings::parse_control("control.yaml", &text).unwrap();
     let short = settings::parse_control("control.yaml", &without_defaults("control.yaml")).unwrap();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_reference_page_is_true() {
+fn the_reference_page_is_up_to_date() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/SETTINGS.md");
     if std::env::var_os("UPDATE_DOCS").is_some() {
         std::fs::write(&path, settings::reference()).unwrap();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_entry_host_with_bad_settings_is_told_everything() {
+fn all_problems_of_entry_settings_are_reported() {
     let text = "id: e 1\nzon: bern-a\nlisten: 0.0.0.0:80\npeer_listen: 0.0.0.0:80\n\
                 control: [10.0.0.1, \"10.0.0.1:0\"]\nstop_delay: 5\n";
     let problems = settings::parse_entry("entry.yaml", text).unwrap_err();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_replica_with_bad_settings_is_told_everything() {
+fn all_problems_of_control_settings_are_reported() {
     let text = "zone: a\ncell_key: k\ndata: d\nlisten: 10.0.0.1:7400\n\
                 call_listen: 10.0.0.1:7400\nreplica_listen: 10.0.0.1:7402\n\
                 replicas: [\"10.0.0.1:7402\"]\nheartbeat: 900 ms\nsnapshot_bytes: 1 B\n\
--- a/tests/telemetry.rs
+++ b/tests/telemetry.rs
@@ -1,4 +1,4 @@
-//! Logs and metrics as operators meet them.
+//! Log lines and the metrics page as operators see them.
 
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -8,9 +8,9 @@
 use yuccahold::telemetry;
 
 #[derive(Clone, Default)]
-struct Shared(Arc<Mutex<Vec<u8>>>);
+struct SharedBuf(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Shared {
+impl Write for SharedBuf {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         self.0.lock().unwrap().write(buf)
     }
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_json_log_line_names_daemon_level_and_keys() {
-    let out = Shared::default();
+    let out = SharedBuf::default();
     let log = telemetry::json_logger("entry", out.clone());
     slog::warn!(log, "a peer went silent"; "step" => "transfer", "peer" => "10.0.0.7:4000");
     let line = String::from_utf8(out.0.lock().unwrap().clone()).unwrap();
@@ -50,12 +50,12 @@
     assert_eq!(text, page.render());
 }
 
-/// Collects the metric names in a folder's sources.
-fn names_in(folder: &Path, names: &mut BTreeSet<String>) {
+/// Collects the metric names in all source files below a folder.
+fn collect_metric_names(folder: &Path, names: &mut BTreeSet<String>) {
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            names_in(&path, names);
+            collect_metric_names(&path, names);
             continue;
         }
         let text = std::fs::read_to_string(&path).unwrap();
@@ -72,7 +72,7 @@
 fn every_metric_is_documented() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut names = BTreeSet::new();
-    names_in(&root.join("src"), &mut names);
+    collect_metric_names(&root.join("src"), &mut names);
     let page = std::fs::read_to_string(root.join("docs/METRICS.md")).unwrap();
     let missing: Vec<_> = names
         .iter()
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Authenticated connections between the daemons of a cell.
+//! Authentication of connections between the daemons of a cell.
 
 use tokio::net::{TcpListener, TcpStream};
 use yuccahold::wire::{CellKey, CellKeys, accept, connect};
@@ -22,8 +22,8 @@
 
 #[tokio::test]
 async fn a_key_change_needs_no_stop() {
-    // Operators add the new key everywhere as the second, then make it the first. In between
-    // daemons of both kinds must reach each other.
+    // Operators add the new key to all daemons as the second key, then make it the first. Until all
+    // are changed, daemons with either order must be able to connect to each other.
     let old_then_new = keys(&["old", "new"]);
     let new_then_old = keys(&["new", "old"]);
     for (client, server) in [
@@ -37,9 +37,9 @@
 }
 
 #[tokio::test]
-async fn a_stranger_is_refused() {
-    // A process with another key connects. The server closes without a word, and both sides
-    // name the handshake as the step that failed.
+async fn a_peer_with_another_key_is_refused() {
+    // A process with another key connects. The server closes the connection without an answer, and
+    // both sides report the handshake as the failed step.
     let (sent, received) = exchange(&keys(&["stranger"]), &keys(&["cell"])).await;
     assert_eq!(sent.unwrap_err().step, Step::Handshake);
     assert_eq!(received.unwrap_err().step, Step::Handshake);
@@ -47,8 +47,8 @@
 
 #[tokio::test]
 async fn a_recorded_connection_cannot_be_replayed() {
-    // An eavesdropper records all that a client sent and sends it again on a connection of its
-    // own. The server's nonce differs, so the recorded proof no longer fits.
+    // An eavesdropper records everything that a client sends and replays it on its own connection.
+    // The server's nonce differs, so the recorded proof is refused.
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let cell = keys(&["cell"]);
     let server = TcpListener::bind("127.0.0.1:0").await.unwrap();
