--- a/src/wire/calls.rs
+++ b/src/wire/calls.rs
@@ -375,7 +375,7 @@
     Running,
     /// All tasks are done.
     Done,
-    /// Given up after the last attempt, or because a rule of the kind says so.
+    /// Given up after the last attempt, or by a rule of the job kind.
     Failed,
     /// Cancelled; tasks that had not started will not start.
     Cancelled,
--- a/tests/platform_cell/caller.rs
+++ b/tests/platform_cell/caller.rs
@@ -147,7 +147,7 @@
         let outcome = self.ask(reqwest::Method::GET, job, None).await;
         if let Outcome::Status(status @ (410 | 404), _) = outcome {
             self.recorder.record_violation(format!(
-                "LOST {job}: {status} after its hand-in was accepted"
+                "LOST {job}: {status} after its submission was accepted"
             ));
         }
     }
