--- a/src/control/machine.rs
+++ b/src/control/machine.rs
@@ -113,7 +113,7 @@
     /// Hands what changed in the cell to the placer, the waiting polls and the feed.
     pub(super) fn publish(&mut self) {
         let events = self.cell.take_events();
-        let touched = self.cell.take_touched_workers();
+        let touched = self.cell.take_changed_workers();
         let changes = self.cell.feed_changes();
         self.feed.send_if_modified(|seen| {
             let modified = *seen != changes;
@@ -223,7 +223,7 @@
             return;
         }
         self.cell.take_events();
-        self.cell.take_touched_workers();
+        self.cell.take_changed_workers();
         let mut lead = Lead::new((self.make_placer)(), now, self.cell.clock);
         for event in self.cell.replayed_events() {
             lead.placer.handle(self.cell.clock, event);
--- a/src/state/cell.rs
+++ b/src/state/cell.rs
@@ -1,4 +1,4 @@
-//! The cell as a whole, and the bookkeeping that all commands share.
+//! The replicated state of the cell, and the operations that several commands share.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -19,59 +19,63 @@
 use crate::slo::Burn;
 use crate::workload::{TaskId, TaskRun};
 
-/// Documents kept for `show --revision` and `rollback`.
+/// Revisions of the document kept for `show --revision` and `rollback`.
 pub(crate) const DOCUMENTS_KEPT: usize = 50;
 
-/// Ended jobs kept so that their callers can still ask.
+/// Ended jobs whose records are kept so that callers can still query them.
 pub(crate) const ENDED_JOBS_KEPT: usize = 12_000;
 
-/// Changes kept in the audit log.
+/// Entries kept in the audit log.
 pub(crate) const AUDIT_KEPT: usize = 2_000;
 
-/// Everything the replicas agree on.
+/// The state that every control replica holds identically.
+///
+/// It changes only through [`Cell::apply`], in the order of the replicated log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cell {
-    /// Time of the latest command, on the leaders' clocks; never goes back.
+    /// Time of the latest command by the clock of the leader that proposed it; never decreases.
     pub clock: Timestamp,
-    /// Accepted documents, the one in force last.
+    /// Accepted documents in order of revision; the last one is in force.
     pub documents: VecDeque<DocumentRecord>,
     /// Jobs by number.
     pub jobs: BTreeMap<JobNumber, JobRecord>,
-    /// Numbers of the jobs by name.
+    /// Number of each job by its name.
     pub job_numbers: BTreeMap<JobName, JobNumber>,
-    /// Ended jobs, the earliest first.
+    /// Ended jobs in the order in which they ended.
     pub ended_jobs: VecDeque<JobNumber>,
-    /// Number of the next job.
+    /// Number that the next accepted job gets.
     pub next_job: JobNumber,
     /// Workers by number.
     pub workers: BTreeMap<WorkerNumber, WorkerRecord>,
-    /// Numbers of the workers by name.
+    /// Number of each worker by its name.
     pub worker_numbers: BTreeMap<WorkerId, WorkerNumber>,
-    /// Number of the next worker.
+    /// Number that the next new worker gets.
     pub next_worker: WorkerNumber,
-    /// Entry hosts.
+    /// Entry hosts that have joined and are not lost.
     pub entries: BTreeMap<EntryId, EntryRecord>,
-    /// Minions.
+    /// Announced minions, and silent ones that an entry host still owns.
     pub minions: BTreeMap<MinionId, MinionRecord>,
-    /// Idempotency keys.
+    /// Idempotency keys of requests, and tombstones of expired keys and removed jobs.
     pub keys: Keys,
     /// Error budgets of the document's objectives.
     pub burn: Burn,
-    /// The latest changes by operators and callers, the earliest first.
+    /// The latest changes by operators and callers, oldest first.
     pub audit: VecDeque<AuditRecord>,
-    /// Changes since the leader last took them; not part of the state.
+    /// Events since the last [`Cell::take_events`]; not part of the replicated state.
     #[serde(skip)]
     pub(crate) events: Vec<Event>,
-    /// Workers whose tasks changed since the leader last looked; not part of the state.
+    /// Workers whose tasks changed since the last [`Cell::take_changed_workers`]; not part of the
+    /// replicated state.
     #[serde(skip)]
-    pub(crate) touched_workers: Vec<WorkerNumber>,
-    /// Number of changes to what entry hosts are fed; not part of the state.
+    pub(crate) changed_workers: Vec<WorkerNumber>,
+    /// Number of changes to the feed of the entry hosts; not part of the replicated state.
     #[serde(skip)]
     pub(crate) feed_changes: u64,
 }
 
 impl Cell {
-    /// Applies one command. Gives the same result on every replica.
+    /// Applies one command at the leader's time `at`. Deterministic: every replica gets the same
+    /// state and reply.
     pub fn apply(&mut self, at: Timestamp, command: Command) -> Reply {
         self.clock = self.clock.max(at);
         let retention = self.document().policy.key_retention;
@@ -79,7 +83,7 @@
         command.apply(self)
     }
 
-    /// The document in force; an empty one before the first.
+    /// The document in force; a default one before the first was accepted.
     pub fn document(&self) -> Arc<Document> {
         self.documents
             .back()
@@ -87,42 +91,44 @@
             .unwrap_or_default()
     }
 
-    /// Revision in force; 0 before the first.
+    /// Revision in force; 0 before the first document.
     pub fn revision(&self) -> Revision {
         self.documents.back().map_or(0, |record| record.revision)
     }
 
-    /// An accepted document: the one in force when no revision is named.
+    /// The document of a revision, or the one in force when `revision` is `None`. `None` when the
+    /// revision never existed or is no longer kept.
     pub fn document_record(&self, revision: Option<Revision>) -> Option<&DocumentRecord> {
         match revision {
             None => self.documents.back(),
-            Some(wanted) => self.documents.iter().find(|d| d.revision == wanted),
+            Some(requested) => self.documents.iter().find(|d| d.revision == requested),
         }
     }
 
-    /// A job by name.
+    /// Looks up a job by its name.
     pub fn job(&self, name: &JobName) -> Option<(JobNumber, &JobRecord)> {
         let number = *self.job_numbers.get(name)?;
         Some((number, self.jobs.get(&number)?))
     }
 
-    /// A worker by name.
+    /// Looks up a worker by its name.
     pub fn worker(&self, name: &WorkerId) -> Option<(WorkerNumber, &WorkerRecord)> {
         let number = *self.worker_numbers.get(name)?;
         Some((number, self.workers.get(&number)?))
     }
 
-    /// Takes the changes since the last call, for the leader's placer.
+    /// Returns the events since the last call; the leader passes them to its placer.
     pub fn take_events(&mut self) -> Vec<Event> {
         std::mem::take(&mut self.events)
     }
 
-    /// Takes the workers whose tasks changed since the last call.
-    pub fn take_touched_workers(&mut self) -> Vec<WorkerNumber> {
-        std::mem::take(&mut self.touched_workers)
+    /// Returns the workers whose tasks changed since the last call; the leader answers their
+    /// waiting polls.
+    pub fn take_changed_workers(&mut self) -> Vec<WorkerNumber> {
+        std::mem::take(&mut self.changed_workers)
     }
 
-    /// Grows with each change to what entry hosts are fed.
+    /// Counter that increases with each change to the feed of the entry hosts.
     pub fn feed_changes(&self) -> u64 {
         self.feed_changes
     }
@@ -139,7 +145,8 @@
         })
     }
 
-    /// Takes a run off its worker and puts its task into another state.
+    /// Sets the state of a running task and releases the resources granted on its worker. Does
+    /// nothing if the task isn't running.
     pub(crate) fn end_run(&mut self, job: JobNumber, index: TaskIndex, phase: TaskPhase) {
         let Some(record) = self.jobs.get_mut(&job) else {
             return;
@@ -156,42 +163,43 @@
                 .granted
                 .checked_sub(&running.granted)
                 .unwrap_or(Resources::ZERO);
-            self.touched_workers.push(running.worker);
+            self.changed_workers.push(running.worker);
         }
     }
 
-    /// Records that a job has nothing left to run, and forgets the earliest ended ones.
-    pub(crate) fn settle_job(&mut self, number: JobNumber) {
+    /// Marks a job as ended once none of its tasks is waiting or running, and removes the oldest
+    /// ended jobs beyond [`ENDED_JOBS_KEPT`].
+    pub(crate) fn end_job_if_finished(&mut self, number: JobNumber) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        let alive = |p: &TaskPhase| matches!(p, TaskPhase::Waiting | TaskPhase::Running(_));
-        if job.ended.is_some() || job.count(alive) > 0 {
+        let open = |p: &TaskPhase| matches!(p, TaskPhase::Waiting | TaskPhase::Running(_));
+        if job.ended.is_some() || job.count(open) > 0 {
             return;
         }
         job.ended = Some(self.clock);
         self.ended_jobs.push_back(number);
         while self.ended_jobs.len() > ENDED_JOBS_KEPT {
-            self.forget_earliest_ended();
+            self.remove_oldest_ended_job();
         }
     }
 
-    fn forget_earliest_ended(&mut self) {
+    fn remove_oldest_ended_job(&mut self) {
         let Some(number) = self.ended_jobs.pop_front() else {
             return;
         };
-        // A job that was started again by a later document has no end and stays.
+        // A later document may have started the job again; it is then no longer ended and stays.
         if self.jobs.get(&number).is_none_or(|job| job.ended.is_none()) {
             return;
         }
         if let Some(job) = self.jobs.remove(&number) {
             let name = job.spec.name.clone();
             self.job_numbers.remove(&name);
-            self.keys.bury_job(&name, self.clock);
+            self.keys.add_job_tombstone(&name, self.clock);
         }
     }
 
-    pub(crate) fn audited(&mut self, who: &CompactString, what: CompactString) {
+    pub(crate) fn add_audit_record(&mut self, who: &CompactString, what: CompactString) {
         let record = AuditRecord {
             at: self.clock,
             who: who.clone(),
--- a/src/state/commands/documents.rs
+++ b/src/state/commands/documents.rs
@@ -1,4 +1,4 @@
-//! Putting a document in force, and bringing what it declares in line with it.
+//! Puts a document in force and reconciles declared jobs and drains with it.
 
 use std::sync::Arc;
 
@@ -21,8 +21,8 @@
         who: CompactString,
         key: Option<IdempotencyKey>,
     ) -> Reply {
-        // An operator whose answer was lost sends the same again: without the key's answer it
-        // would see a conflict with its own change.
+        // An operator whose answer was lost resends the document under the same key. Without this
+        // check the resend would be refused as conflicting with its own change.
         if let Some(first) = self
             .documents
             .iter()
@@ -35,7 +35,7 @@
         }
         let old = self.document();
         let revision = base + 1;
-        self.audited(
+        self.add_audit_record(
             &who,
             format_compact!("put document revision {revision} in force"),
         );
@@ -50,17 +50,17 @@
         while self.documents.len() > DOCUMENTS_KEPT {
             self.documents.pop_front();
         }
-        self.follow_document(&old);
+        self.reconcile(&old);
         self.feed_changed();
         Reply::Revision(revision)
     }
 
-    fn follow_document(&mut self, old: &Document) {
+    fn reconcile(&mut self, old: &Document) {
         let new = self.document();
         self.events.push(Event::Policy(new.policy.clone()));
         self.events.push(Event::Teams(new.teams.clone()));
         self.burn.set_objectives(&new.objectives);
-        self.follow_drains(&new.drains);
+        self.reconcile_drains(&new.drains);
         for name in old
             .workloads
             .keys()
@@ -70,12 +70,12 @@
         }
         for (name, workload) in &new.workloads {
             if let Some(kind) = new.kinds.get(&workload.kind) {
-                self.follow_workload(name, workload, kind);
+                self.reconcile_workload(name, workload, kind);
             }
         }
     }
 
-    fn follow_workload(&mut self, name: &JobName, workload: &Workload, kind: &JobKind) {
+    fn reconcile_workload(&mut self, name: &JobName, workload: &Workload, kind: &JobKind) {
         let spec = declared_spec(name, workload, kind);
         let Some((number, job)) = self.job(name) else {
             self.accept_job(spec, true);
@@ -86,19 +86,19 @@
         }
         let long_running = matches!(spec.class, WorkClass::Service | WorkClass::Watcher);
         let ended = job.ended.is_some();
-        // A batch job that was done once is not run again by a changed declaration: a plan cut
-        // twice cannot be undone. A new name runs it anew.
+        // A changed declaration does not run an ended batch job again, because its work may have
+        // effects that can't be undone. Declaring it under a new name runs it.
         if ended && !long_running {
             return;
         }
-        if ended || !same_but_for_count(&job.spec, &spec) {
+        if ended || !differs_only_in_tasks(&job.spec, &spec) {
             self.replace_job(number, spec);
             return;
         }
         self.resize_job(number, spec);
     }
 
-    /// Stops the old tasks of a changed long-running job and accepts it in its new form.
+    /// Stops the tasks of a changed long-running job and accepts the job with its new spec.
     fn replace_job(&mut self, number: u32, spec: JobSpec) {
         let name = spec.name.clone();
         self.cancel_job(&name);
@@ -107,16 +107,17 @@
             .get(&number)
             .is_some_and(|job| job.ended.is_none());
         if still_running {
-            // The old runs must end first: a watcher in two forms at once would run doubled.
-            // The leader's rollout accepts the new form when the old one has ended.
+            // The old runs must end first, or a watcher would run twice at the same time.
+            // `restart_declared` accepts the new spec once they have ended.
             return;
         }
         self.job_numbers.remove(&name);
         self.accept_job(spec, true);
     }
 
-    /// Accepts declared long-running jobs whose earlier form has ended.
-    pub(super) fn renew_declared(&mut self, name: &JobName) {
+    /// Accepts a declared long-running job with its new spec after the runs of its old spec have
+    /// ended.
+    pub(super) fn restart_declared(&mut self, name: &JobName) {
         let document = self.document();
         let Some(workload) = document.workloads.get(name) else {
             return;
@@ -137,17 +138,17 @@
     }
 
     fn resize_job(&mut self, number: u32, spec: JobSpec) {
-        let wanted = spec.tasks;
+        let count = spec.tasks;
         let name = spec.name.clone();
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
         job.spec = Arc::new(spec);
-        while job.tasks.len() < wanted as usize {
+        while job.tasks.len() < count as usize {
             job.tasks.push(TaskRecord::default());
         }
         for (index, task) in job.tasks.iter_mut().enumerate() {
-            let kept = index < wanted as usize;
+            let kept = index < count as usize;
             match task.phase {
                 TaskPhase::Waiting if !kept => task.phase = TaskPhase::Cancelled,
                 TaskPhase::Cancelled if kept => task.phase = TaskPhase::Waiting,
@@ -156,23 +157,23 @@
         }
         self.events.push(Event::JobResized {
             job: name,
-            tasks: wanted,
+            tasks: count,
         });
         self.stop_surplus(number);
     }
 
-    fn follow_drains(&mut self, drains: &[Drain]) {
+    fn reconcile_drains(&mut self, drains: &[Drain]) {
         let now = self.clock;
         let mut events = Vec::new();
         for (number, worker) in &mut self.workers {
-            let wanted = drain_deadline(drains, worker, now);
-            if wanted.is_some() == worker.drain.is_some() {
+            let due = drain_deadline(drains, worker, now);
+            if due.is_some() == worker.drain.is_some() {
                 continue;
             }
-            worker.drain = wanted;
+            worker.drain = due;
             let id = worker.spec.id.clone();
-            self.touched_workers.push(*number);
-            events.push(match wanted {
+            self.changed_workers.push(*number);
+            events.push(match due {
                 Some(deadline) => Event::DrainStarted {
                     worker: id,
                     deadline,
@@ -184,7 +185,7 @@
     }
 }
 
-/// When a worker must be empty under these drains.
+/// Time by which a worker must be empty under these drains; `None` if none applies to it.
 pub(super) fn drain_deadline(
     drains: &[Drain],
     worker: &WorkerRecord,
@@ -203,7 +204,7 @@
     spans.min().map(|within| now + within)
 }
 
-/// The job that a declared workload stands for.
+/// Spec of the job that a declared workload requires.
 fn declared_spec(name: &JobName, workload: &Workload, kind: &JobKind) -> JobSpec {
     let mut spec = kind_spec(name.clone(), workload.kind.clone(), kind);
     spec.tasks = workload.tasks;
@@ -211,7 +212,7 @@
     spec
 }
 
-/// A job of a kind with all that the kind declares.
+/// Spec of a job with the values that its kind declares and an empty payload.
 pub(super) fn kind_spec(name: JobName, kind_name: KindName, kind: &JobKind) -> JobSpec {
     JobSpec {
         name,
@@ -234,7 +235,7 @@
     }
 }
 
-fn same_but_for_count(old: &JobSpec, new: &JobSpec) -> bool {
+fn differs_only_in_tasks(old: &JobSpec, new: &JobSpec) -> bool {
     JobSpec {
         tasks: new.tasks,
         ..old.clone()
--- a/src/state/commands/entries.rs
+++ b/src/state/commands/entries.rs
@@ -1,4 +1,4 @@
-//! Entry hosts, minions, and which entry host owns which minion.
+//! Entry hosts and minions joining and leaving, and the ownership of minions by entry hosts.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
         if known.is_some_and(|entry| entry.process == hello.process && !entry.leaving) {
             return Reply::Ok;
         }
-        // The leader proposes another process only once the lease of the earlier one ran out.
+        // The leader proposes another process only after the lease of the earlier one expired.
         let earlier = known
             .map(|entry| entry.process)
             .filter(|p| *p != hello.process);
@@ -77,11 +77,11 @@
             minion.release = false;
             minion.lapsed = true;
         }
-        self.forget_silent();
+        self.remove_unowned_silent();
     }
 
-    /// Forgets silent minions that nobody uses any more.
-    fn forget_silent(&mut self) {
+    /// Removes minions that are silent and have no owner.
+    fn remove_unowned_silent(&mut self) {
         self.minions
             .retain(|_, minion| minion.owner.is_some() || !minion.is_silent());
     }
@@ -89,7 +89,7 @@
     pub(super) fn announce_minion(&mut self, announced: MinionAnnouncement) -> Reply {
         let id = announced.id.clone();
         match self.minions.get_mut(&id) {
-            // The owner carries on: it sees the new process or size in its feed.
+            // The owner stays the same and gets the new process or size with its feed.
             Some(minion) => {
                 minion.leaving = minion.leaving && minion.announced.process == announced.process;
                 if minion.is_silent() {
@@ -130,15 +130,16 @@
             .get(id)
             .is_some_and(|m| m.announced.process == process);
         if current {
-            self.silence(id);
+            self.expire_minion(id);
             self.feed_changed();
         }
         Reply::Ok
     }
 
-    /// Has the owner of a minion whose announcement lapsed let go of it first. Forgotten at once,
-    /// a minion that comes back would get another owner beside what the old one has in work.
-    fn silence(&mut self, id: &MinionId) {
+    /// Asks the owner of a minion whose announcement expired to release it. Were it removed at
+    /// once, a minion that returns would get another owner while requests of the old owner may
+    /// still be in progress there.
+    fn expire_minion(&mut self, id: &MinionId) {
         match self.minions.get_mut(id) {
             Some(minion) if minion.owner.is_some() => {
                 minion.announced.ttl = Duration::ZERO;
@@ -159,7 +160,7 @@
                 minion.lapsed = false;
             }
         }
-        self.forget_silent();
+        self.remove_unowned_silent();
         self.assign_owners();
         self.feed_changed();
         Reply::Ok
@@ -175,15 +176,16 @@
         Reply::Ok
     }
 
-    /// Gives every minion without an owner to the entry host that owns the fewest, one of the
-    /// minion's own availability zone where their numbers are equal or nearly so.
+    /// Assigns every minion without an owner to the entry host that owns the fewest minions. An
+    /// entry host of another availability zone counts as owning one more, so that the minion's
+    /// own zone is preferred at equal numbers.
     fn assign_owners(&mut self) {
-        let orphans = self
+        let unowned = self
             .minions
             .iter()
             .filter(|(_, minion)| minion.owner.is_none());
-        let orphans: Vec<MinionId> = orphans.map(|(id, _)| id.clone()).collect();
-        for id in orphans {
+        let unowned: Vec<MinionId> = unowned.map(|(id, _)| id.clone()).collect();
+        for id in unowned {
             let Some(zone) = self.minions.get(&id).map(|m| m.announced.zone.clone()) else {
                 continue;
             };
@@ -202,7 +204,7 @@
             .map(|(id, _)| id.clone())
     }
 
-    /// Number of minions that an entry host owns.
+    /// Number of minions that an entry host owns, including those it must release.
     pub fn owned_by(&self, entry: &EntryId) -> usize {
         self.minions
             .values()
--- a/src/state/commands/jobs.rs
+++ b/src/state/commands/jobs.rs
@@ -1,4 +1,4 @@
-//! Accepting, cancelling and giving up jobs.
+//! Accepting, cancelling and failing jobs.
 
 use std::sync::Arc;
 
@@ -13,14 +13,14 @@
 use crate::wire::{JobSubmission, RefusalKind, StopKind};
 use crate::workload::JobSpec;
 
-/// Most tasks of one job.
+/// Maximum number of tasks of one job.
 const MAX_TASKS: u32 = 20_000;
 
-/// Longest name of a job in bytes.
-const MAX_NAME: usize = 128;
+/// Maximum length of a job's name.
+const MAX_NAME_BYTES: usize = 128;
 
-/// Longest payload in bytes.
-const MAX_PAYLOAD: usize = 16 * 1024;
+/// Maximum length of a job's payload.
+const MAX_PAYLOAD_BYTES: usize = 16 * 1024;
 
 impl Cell {
     pub(super) fn submit_job(&mut self, submission: JobSubmission, who: &CompactString) -> Reply {
@@ -36,8 +36,8 @@
             );
             return refuse(RefusalKind::Conflict, message);
         }
-        // Without this a resend after the job was forgotten would run it a second time.
-        if self.keys.job_is_buried(&name) {
+        // Without this check a resend after the job's record was removed would run it again.
+        if self.keys.has_job_tombstone(&name) {
             let message = format!("a job {name} has ended and its record is no longer kept");
             return refuse(RefusalKind::Expired, message);
         }
@@ -45,7 +45,7 @@
             Ok(spec) => {
                 let name = spec.name.clone();
                 self.accept_job(spec, false);
-                self.audited(who, format_compact!("submitted job {name}"));
+                self.add_audit_record(who, format_compact!("submitted job {name}"));
                 self.job_reply(&name)
             }
             Err(message) => refuse(RefusalKind::Invalid, message),
@@ -68,11 +68,11 @@
                 submission.kind
             ));
         };
-        if name.is_empty() || name.len() > MAX_NAME {
-            return Err(format!("a job name has 1 to {MAX_NAME} bytes"));
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
+            return Err(format!("a job name has 1 to {MAX_NAME_BYTES} bytes"));
         }
-        if submission.payload.len() > MAX_PAYLOAD {
-            return Err(format!("a payload has at most {MAX_PAYLOAD} bytes"));
+        if submission.payload.len() > MAX_PAYLOAD_BYTES {
+            return Err(format!("a payload has at most {MAX_PAYLOAD_BYTES} bytes"));
         }
         let mut spec = kind_spec(name, submission.kind.clone(), kind);
         spec.tasks = submission.tasks.unwrap_or(kind.tasks);
@@ -112,10 +112,10 @@
         });
     }
 
-    pub(super) fn cancel_by(&mut self, name: &JobName, who: &CompactString) -> Reply {
+    pub(super) fn cancel_and_audit(&mut self, name: &JobName, who: &CompactString) -> Reply {
         let open = self.job(name).is_some_and(|(_, job)| job.ended.is_none());
         if open {
-            self.audited(who, format_compact!("cancelled job {name}"));
+            self.add_audit_record(who, format_compact!("cancelled job {name}"));
         }
         self.cancel_job(name)
     }
@@ -127,7 +127,7 @@
         if job.ended.is_none() {
             self.stop_job(number, Verdict::Cancelled, CompactString::default());
             self.events.push(Event::JobCancelled(name.clone()));
-            self.settle_job(number);
+            self.end_job_if_finished(number);
         }
         self.job_reply(name)
     }
@@ -138,7 +138,7 @@
         };
         if job.ended.is_none() {
             self.stop_job(number, Verdict::GivenUp, reason);
-            self.settle_job(number);
+            self.end_job_if_finished(number);
         }
         Reply::Ok
     }
@@ -154,7 +154,7 @@
         Reply::Ok
     }
 
-    /// Lets nothing of a job start any more and orders its runs to stop.
+    /// Sets the verdict of a job, ends its waiting tasks and orders its runs to stop.
     fn stop_job(&mut self, number: JobNumber, verdict: Verdict, reason: CompactString) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
@@ -170,23 +170,23 @@
                 TaskPhase::Waiting => task.phase = waiting_end.clone(),
                 TaskPhase::Running(running) => {
                     running.order = Some(StopKind::Stop);
-                    self.touched_workers.push(running.worker);
+                    self.changed_workers.push(running.worker);
                 }
                 _ => {}
             }
         }
     }
 
-    /// Orders runs beyond the wanted number of tasks to stop.
+    /// Orders runs whose index is beyond the job's number of tasks to stop.
     pub(super) fn stop_surplus(&mut self, number: JobNumber) {
         let Some(job) = self.jobs.get_mut(&number) else {
             return;
         };
-        let wanted = job.spec.tasks as usize;
-        for task in job.tasks.iter_mut().skip(wanted) {
+        let kept = job.spec.tasks as usize;
+        for task in job.tasks.iter_mut().skip(kept) {
             if let TaskPhase::Running(running) = &mut task.phase {
                 running.order = Some(StopKind::Stop);
-                self.touched_workers.push(running.worker);
+                self.changed_workers.push(running.worker);
             }
         }
     }
@@ -199,7 +199,8 @@
     }
 }
 
-/// Whether a submission asks for just the job that is there.
+/// Whether a submission requests the same job as the existing one; absent fields match any
+/// value.
 fn submission_matches(submission: &JobSubmission, spec: &JobSpec) -> bool {
     submission.kind == spec.kind
         && submission.payload == spec.payload
--- a/src/state/commands/mod.rs
+++ b/src/state/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Commands: the only way the replicated state changes.
+//! Commands: the log entries that change the replicated state.
 
 mod documents;
 mod entries;
@@ -29,158 +29,158 @@
 };
 use crate::workload::{RunEnd, WorkerSpec};
 
-/// One change of the replicated state.
+/// One change of the replicated state, encoded as an entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Puts a new document in force if `base` still is.
+    /// Puts a new document in force if `base` is still the revision in force.
     PutDocument {
         /// Revision the change was made from.
         base: Revision,
-        /// The new document, already validated.
+        /// The new document, validated by the proposer.
         document: Arc<Document>,
-        /// Who sent it.
+        /// Operator, for the audit log.
         who: CompactString,
-        /// A resend under the same key gets the first answer.
+        /// A resend under the same key gets the reply to the first one.
         key: Option<IdempotencyKey>,
     },
     /// Accepts a job.
     SubmitJob {
-        /// The job.
+        /// Name, kind and payload as the caller sent them.
         submission: JobSubmission,
-        /// Who submits it.
+        /// Caller or operator, for the audit log.
         who: CompactString,
     },
-    /// Cancels a job: nothing of it starts any more, what runs is stopped.
+    /// Cancels a job: its waiting tasks never start and its runs are ordered to stop.
     CancelJob {
         /// The job.
         job: JobName,
-        /// Who cancels it.
+        /// Caller or operator, for the audit log.
         who: CompactString,
     },
-    /// Starts tasks.
+    /// Starts tasks on workers.
     Place(Place),
-    /// Ends runs.
+    /// Orders runs to stop, checkpoint or throttle.
     Stop(Vec<RunOrder>),
-    /// Gives a job up.
+    /// Fails a job, for example after its attempts are used up.
     GiveUp {
         /// The job.
         job: JobName,
-        /// In one sentence.
+        /// One sentence, shown to callers.
         reason: CompactString,
     },
-    /// Marks a job that can never run in the cell as it is.
+    /// Marks a job that can't run with the cell's present workers.
     NeverRuns {
         /// The job.
         job: JobName,
-        /// In one sentence.
+        /// One sentence, shown to callers.
         reason: CompactString,
     },
     /// Sets or lifts a worker's quarantine.
     Quarantine {
         /// The worker.
         worker: WorkerNumber,
-        /// Whether it is quarantined from now on.
+        /// `true` sets the quarantine, `false` lifts it.
         on: bool,
     },
-    /// A worker joined, or came back with another process or shape.
+    /// A worker joined, or returned with another process or spec.
     WorkerUp {
-        /// As it announces itself.
+        /// The worker as it describes itself in its poll.
         spec: WorkerSpec,
-        /// Its process.
+        /// Process that polled.
         process: ProcessId,
     },
-    /// A worker's lease ran out, or it left.
+    /// A worker's lease expired, or it left.
     WorkerDown {
         /// The worker.
         worker: WorkerNumber,
-        /// The process that is gone.
+        /// Process that is lost; the command does nothing if another one has joined since.
         process: ProcessId,
-        /// Runs the leader granted but never put into an answer: proved not to have started.
+        /// Runs that the leader granted but never put into an answer, so they can't have started.
         never_sent: Vec<(JobNumber, TaskIndex)>,
     },
-    /// A worker announced that it leaves.
+    /// A worker announced that it leaves: it gets no more tasks.
     WorkerLeaving(WorkerNumber),
-    /// Runs ended.
+    /// Workers reported runs that ended.
     Report(Vec<WorkerReport>),
-    /// An entry host joined, or came back with another process.
+    /// An entry host joined, or returned with another process.
     EntryUp(EntryHello),
-    /// An entry host stops as planned and gives its minions up.
+    /// An entry host began a planned stop and must release its minions.
     EntryLeaving(EntryId),
-    /// An entry host's lease ran out, or it has stopped.
+    /// An entry host's lease expired, or it has stopped.
     EntryDown {
         /// The entry host.
         entry: EntryId,
-        /// The process that is gone.
+        /// Process that is lost; the command does nothing if another one has joined since.
         process: ProcessId,
     },
-    /// A minion joined or changed.
+    /// A minion joined, or announced another process, address or size.
     AnnounceMinion(MinionAnnouncement),
-    /// A minion leaves as planned.
+    /// A minion announced that it leaves.
     LeaveMinion(MinionId),
-    /// A minion's announcement lapsed.
+    /// A minion's announcement expired.
     MinionDown {
         /// The minion.
         minion: MinionId,
-        /// The process that is gone.
+        /// Process that is lost; the command does nothing if another one has joined since.
         process: ProcessId,
     },
-    /// An entry host finished its last request at these minions.
+    /// An entry host finished its last requests at these minions and no longer owns them.
     ReleaseMinions {
         /// The entry host.
         entry: EntryId,
         /// The minions.
         minions: Vec<MinionId>,
     },
-    /// Asks the owners of these minions to give them up, to even out the entry hosts.
+    /// Asks the owners of these minions to release them, to balance minions over entry hosts.
     MoveMinions(Vec<MinionId>),
-    /// Reserves an idempotency key.
+    /// Claims an idempotency key for a request.
     ClaimKey(KeyClaim),
-    /// Records what became of a claimed key.
+    /// Records the outcome of the request under a claimed key.
     SettleKey(KeySettlement),
-    /// Adds counts against the objectives.
+    /// Adds counts of good and bad events to the objectives' error budgets.
     Burn(BurnDelta),
 }
 
-/// Starts of one batch. Jobs and workers are numbers and indexes are differences, so that one
-/// start costs three to five bytes in the log.
+/// A batch of starts. Jobs and workers are given by number and task indexes as differences, so
+/// that one start takes three to five bytes in the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Place {
-    /// Starts by job.
+    /// Starts grouped by job and granted resources.
     pub jobs: Vec<PlaceJob>,
 }
 
-/// Starts of one job.
+/// Starts of tasks of one job that are granted the same resources.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlaceJob {
     /// The job.
     pub job: JobNumber,
-    /// What each task is granted when it differs from the declared need.
+    /// Resources granted to each task; `None` if they equal the job's declared need.
     pub granted: Option<Resources>,
-    /// The starts, by ascending index.
+    /// Sorted by task index.
     pub starts: Vec<Start>,
 }
 
-/// One start.
+/// Start of one task on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
-    /// Index less the index of the start before, or the index itself for the first.
+    /// Difference to the task index of the previous start; the index itself for the first.
     pub step: TaskIndex,
-    /// Where.
+    /// Worker that runs the task.
     pub worker: WorkerNumber,
 }
 
-/// An order to end one run.
+/// An order to stop, checkpoint or throttle one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunOrder {
     /// The job.
     pub job: JobNumber,
     /// The task.
     pub index: TaskIndex,
-    /// The start that is meant; an order for another one does nothing.
+    /// Attempt that the order is for; it is ignored if the task has started again since.
     pub attempt: Attempt,
-    /// How.
+    /// Stop, checkpoint or throttle.
     pub how: StopKind,
-    /// Why.
+    /// Cause of the order; a preemption of work that can't continue later is ignored.
     pub reason: StopReason,
 }
 
@@ -189,35 +189,35 @@
 pub struct WorkerReport {
     /// The worker.
     pub worker: WorkerNumber,
-    /// Job, task, start and end of each.
+    /// Job, task index, attempt and end of each run.
     pub ended: Vec<(JobNumber, TaskIndex, Attempt, RunEnd)>,
 }
 
-/// What a command gives back to its proposer.
+/// Result of a command, returned to its proposer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Done.
+    /// The command was applied, or had nothing to change.
     Ok,
     /// The document is in force under this revision.
     Revision(Revision),
-    /// The document was changed meanwhile; this one is in force.
+    /// The document was changed since `base`; this revision is in force.
     Stale(Revision),
-    /// The job's state.
+    /// State of the submitted or cancelled job.
     Job(JobView),
-    /// The key's state.
+    /// State of the claimed key.
     Key(KeyState),
-    /// Nothing was changed.
+    /// The command was refused and changed nothing.
     Refused(Refusal),
 }
 
 impl Command {
-    /// Encodes the command for the log.
+    /// Encodes the command for the log, after the format version.
     pub fn to_bytes(&self) -> Result<Vec<u8>> {
         postcard::to_allocvec(&(super::STATE_VERSION, self))
             .map_err(|e| Error::caused(Step::Codec, "encoding a command", e))
     }
 
-    /// Decodes a command from the log.
+    /// Decodes a command from the log; fails on another format version.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self> {
         let (version, rest) = postcard::take_from_bytes::<u16>(bytes)
             .map_err(|e| Error::caused(Step::Codec, "decoding a command's version", e))?;
@@ -239,7 +239,7 @@
                 key,
             } => cell.put_document(base, document, who, key),
             Self::SubmitJob { submission, who } => cell.submit_job(submission, &who),
-            Self::CancelJob { job, who } => cell.cancel_by(&job, &who),
+            Self::CancelJob { job, who } => cell.cancel_and_audit(&job, &who),
             Self::Place(place) => cell.place(&place),
             Self::Stop(orders) => cell.order_runs(&orders),
             Self::GiveUp { job, reason } => cell.give_up(&job, reason),
@@ -300,7 +300,7 @@
     }
 }
 
-/// A refusal that changes nothing.
+/// A refusal without a time after which to retry.
 pub(super) fn refuse(kind: RefusalKind, message: impl Into<String>) -> Reply {
     Reply::Refused(Refusal {
         kind,
--- a/src/state/commands/runs.rs
+++ b/src/state/commands/runs.rs
@@ -1,4 +1,4 @@
-//! Starting tasks, ordering runs to end, and recording how they ended.
+//! Starting tasks, ordering runs to stop, and recording how runs ended.
 
 use super::{Place, PlaceJob, Reply, RunOrder, WorkerReport};
 use crate::ids::{Attempt, TaskIndex};
@@ -24,16 +24,16 @@
         for start in &group.starts {
             index += start.step;
             if !self.start_task(group.job, index, start.worker, group.granted) {
-                self.refuse_start(group.job, index, start.worker);
+                self.emit_start_refused(group.job, index, start.worker);
             }
         }
     }
 
-    /// Grants a worker's capacity to a task, unless that would overfill the worker or start a
-    /// task that does not wait.
+    /// Grants resources of a worker to a task. Returns `false` and changes nothing if the worker's
+    /// capacity would be exceeded or the task isn't waiting.
     ///
-    /// The placer has checked the same, but its view may be older than this entry of the log:
-    /// the check here, on every replica, is the one that counts.
+    /// The placer checks the same before it proposes a start, but its state may be older than
+    /// this entry of the log, so this check on every replica is the authoritative one.
     fn start_task(
         &mut self,
         number: JobNumber,
@@ -51,7 +51,7 @@
         let Some(sum) = worker.granted.checked_add(&granted) else {
             return false;
         };
-        if !may_start(job, index) || !may_host(worker, job, &sum) {
+        if !can_start(job, index) || !can_host(worker, job, &sum) {
             return false;
         }
         let Some(task) = job.tasks.get_mut(index as usize) else {
@@ -73,11 +73,11 @@
             job.verdict = None;
             job.reason.clear();
         }
-        self.touched_workers.push(worker_number);
+        self.changed_workers.push(worker_number);
         true
     }
 
-    fn refuse_start(&mut self, number: JobNumber, index: TaskIndex, worker: WorkerNumber) {
+    fn emit_start_refused(&mut self, number: JobNumber, index: TaskIndex, worker: WorkerNumber) {
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
@@ -114,8 +114,8 @@
         if task.attempt != order.attempt {
             return;
         }
-        // Work that can neither be resumed nor run again would be lost for the sake of other
-        // work. The placer does not ask for it; this check holds even if it does.
+        // Work that can be neither resumed nor run again must not be lost to make room for other
+        // work. The placer doesn't request such a stop; this check guards against it anyway.
         let resumable = order.how == StopKind::Checkpoint && resumes;
         let for_others = matches!(order.reason, StopReason::Preempted | StopReason::Reclaimed);
         if for_others && order.how != StopKind::Throttle && !restarts && !resumable {
@@ -124,7 +124,7 @@
         let TaskPhase::Running(running) = &mut task.phase else {
             return;
         };
-        // An order only grows stronger: a run told to stop is not told to throttle again.
+        // A stop order is final: it isn't replaced by a weaker one such as throttling.
         if running.order == Some(StopKind::Stop) {
             return;
         }
@@ -132,7 +132,7 @@
         if for_others && order.how != StopKind::Throttle {
             task.preemptions += 1;
         }
-        self.touched_workers.push(running.worker);
+        self.changed_workers.push(running.worker);
     }
 
     pub(super) fn report(&mut self, reports: &[WorkerReport]) -> Reply {
@@ -158,12 +158,12 @@
         let Some(task) = job.tasks.get(index as usize) else {
             return;
         };
-        // A report that comes twice, or from a worker that lost the run long ago, is passed over.
+        // A repeated report, or one of a run that this worker no longer holds, doesn't end the run.
         let current = task
             .running()
             .is_some_and(|running| running.worker == worker);
         if !current || task.attempt != attempt {
-            self.correct_unknown(number, index, attempt, end);
+            self.resolve_unknown(number, index, attempt, end);
             return;
         }
         let phase = phase_after(job, index, end);
@@ -175,11 +175,12 @@
             let worker = worker.spec.id.clone();
             self.events.push(Event::RunEnded { run, worker, end });
         }
-        self.job_moved_on(number);
+        self.after_run_end(number);
     }
 
-    /// Takes a late word on a run whose outcome was unknown: the worker that ran it came back.
-    fn correct_unknown(
+    /// Records a late report of a run whose outcome was unknown, from a worker that returned after
+    /// its lease had expired.
+    fn resolve_unknown(
         &mut self,
         number: JobNumber,
         index: TaskIndex,
@@ -202,7 +203,8 @@
         }
     }
 
-    /// Ends the runs of a worker that is gone for longer than its lease.
+    /// Ends a run of a worker whose lease expired, whose process was replaced or whose capacity
+    /// shrank below what was granted.
     pub(super) fn lose_run(&mut self, worker: WorkerNumber, number: JobNumber, index: TaskIndex) {
         let Some(job) = self.jobs.get(&number) else {
             return;
@@ -213,7 +215,7 @@
         let phase = match (restart, job.restarts()) {
             (true, _) => TaskPhase::Waiting,
             (false, true) => TaskPhase::Cancelled,
-            // It may have run: a second start could do its work twice.
+            // The task may have run: starting it again could do its work twice.
             (false, false) => TaskPhase::Unknown,
         };
         let Some(run) = self.run_of(number, index) else {
@@ -228,10 +230,10 @@
                 restart,
             });
         }
-        self.job_moved_on(number);
+        self.after_run_end(number);
     }
 
-    /// Takes back a run that is proved never to have reached its worker.
+    /// Ends a run that was never sent to its worker, so its task can start again.
     pub(super) fn withdraw_run(
         &mut self,
         worker: WorkerNumber,
@@ -244,19 +246,19 @@
         self.run_ended(worker, number, index, attempt, RunEnd::NeverStarted);
     }
 
-    fn job_moved_on(&mut self, number: JobNumber) {
-        self.settle_job(number);
+    fn after_run_end(&mut self, number: JobNumber) {
+        self.end_job_if_finished(number);
         let Some(job) = self.jobs.get(&number) else {
             return;
         };
         if job.declared && job.ended.is_some() {
             let name = job.spec.name.clone();
-            self.renew_declared(&name);
+            self.restart_declared(&name);
         }
     }
 }
 
-fn may_start(job: &JobRecord, index: TaskIndex) -> bool {
+fn can_start(job: &JobRecord, index: TaskIndex) -> bool {
     let live = !matches!(job.verdict, Some(Verdict::Cancelled | Verdict::GivenUp));
     let waits = job
         .tasks
@@ -265,7 +267,7 @@
     live && waits
 }
 
-fn may_host(worker: &WorkerRecord, job: &JobRecord, sum: &Resources) -> bool {
+fn can_host(worker: &WorkerRecord, job: &JobRecord, sum: &Resources) -> bool {
     let spec = &job.spec;
     let typed = spec.accelerator.is_none() || spec.accelerator == worker.spec.accelerator;
     let zoned = spec.zones.is_empty() || spec.zones.contains(&worker.spec.zone);
@@ -286,7 +288,7 @@
         RunEnd::NeverStarted | RunEnd::Checkpointed => TaskPhase::Waiting,
         RunEnd::Failed | RunEnd::Stopped if job.restarts() => TaskPhase::Waiting,
         RunEnd::Failed => TaskPhase::Failed,
-        // It ran in part and saved nothing: a second start could do its work twice.
+        // It ran partly and saved no state: starting it again could do that work twice.
         RunEnd::Stopped => TaskPhase::Unknown,
     }
 }
--- a/src/state/commands/workers.rs
+++ b/src/state/commands/workers.rs
@@ -1,4 +1,4 @@
-//! Workers joining, leaving and being lost.
+//! Workers joining, leaving and being lost, and their quarantine.
 
 use std::collections::BTreeSet;
 
@@ -14,13 +14,13 @@
 impl Cell {
     pub(super) fn worker_up(&mut self, spec: WorkerSpec, process: ProcessId) -> Reply {
         match self.worker_numbers.get(&spec.id).copied() {
-            Some(number) => self.worker_again(number, spec, process),
-            None => self.worker_new(spec, process),
+            Some(number) => self.update_worker(number, spec, process),
+            None => self.add_worker(spec, process),
         }
         Reply::Ok
     }
 
-    fn worker_new(&mut self, spec: WorkerSpec, process: ProcessId) {
+    fn add_worker(&mut self, spec: WorkerSpec, process: ProcessId) {
         let number = self.next_worker;
         self.next_worker += 1;
         self.worker_numbers.insert(spec.id.clone(), number);
@@ -34,12 +34,12 @@
             leaving: false,
         };
         self.workers.insert(number, record);
-        self.announce_worker(number);
+        self.emit_worker_up(number);
     }
 
-    /// Takes a worker back under its number. The leader proposes this only once the lease of
-    /// an earlier process has run out and its runs are lost.
-    fn worker_again(&mut self, number: WorkerNumber, spec: WorkerSpec, process: ProcessId) {
+    /// Updates a known worker, which keeps its number. The leader proposes another process only
+    /// after the lease of the earlier one expired and its runs are lost.
+    fn update_worker(&mut self, number: WorkerNumber, spec: WorkerSpec, process: ProcessId) {
         let Some(worker) = self.workers.get_mut(&number) else {
             return;
         };
@@ -49,7 +49,8 @@
         let Some(worker) = self.workers.get_mut(&number) else {
             return;
         };
-        // A smaller shape than what is granted would be overfilled at once.
+        // The new capacity is less than what is already granted: without this the worker would be
+        // over capacity.
         if !worker.granted.fits_in(&spec.capacity) {
             self.lose_runs(number);
         }
@@ -59,10 +60,10 @@
         worker.spec = spec;
         worker.process = process;
         worker.leaving = false;
-        self.announce_worker(number);
+        self.emit_worker_up(number);
     }
 
-    fn announce_worker(&mut self, number: WorkerNumber) {
+    fn emit_worker_up(&mut self, number: WorkerNumber) {
         let document = self.document();
         let now = self.clock;
         let Some(worker) = self.workers.get_mut(&number) else {
@@ -74,7 +75,7 @@
             let worker = worker.spec.id.clone();
             self.events.push(Event::DrainStarted { worker, deadline });
         }
-        self.touched_workers.push(number);
+        self.changed_workers.push(number);
     }
 
     pub(super) fn worker_down(
@@ -96,7 +97,7 @@
         self.lose_runs(number);
         self.workers.remove(&number);
         self.worker_numbers.remove(&id);
-        self.touched_workers.push(number);
+        self.changed_workers.push(number);
         self.events.push(Event::WorkerDown(id));
         Reply::Ok
     }
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys: the first answer for a resend, and a refusal for a key too old to answer.
+//! Idempotency keys: a resend gets the first answer, or a refusal once that answer has expired.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,52 +9,55 @@
 use crate::ids::{EntryId, IdempotencyKey, JobName, ProcessId, ServiceName, Timestamp};
 use crate::wire::{KeySettlement, KeyState};
 
-/// A key's fingerprint is kept this many times as long as its answer.
+/// How many times longer a key's tombstone is kept than its answer.
 ///
-/// After the answer is gone a resend is refused as expired by the fingerprint. Only after this
-/// longer time would the key count as new; callers are told in the operators' pages.
+/// While the tombstone exists, a resend of the key is refused as expired. After that the key
+/// counts as new and its request would run again; the operators' pages state this limit.
 pub const TOMBSTONE_FACTOR: u32 = 7;
 
-/// Most answers kept at once; the earliest are forgotten first.
+/// Maximum number of key records; the oldest are turned into tombstones first.
 const ANSWERS_KEPT: usize = 20_000;
 
-/// Most fingerprints kept at once.
+/// Maximum number of tombstones; the oldest are removed first.
 const TOMBSTONES_KEPT: usize = 200_000;
 
-/// Keys of requests to services, and fingerprints of keys and job names long gone.
+/// Records of claimed keys, and tombstones of expired keys and of removed jobs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Keys {
     records: BTreeMap<(ServiceName, IdempotencyKey), KeyRecord>,
-    order: VecDeque<(Timestamp, ServiceName, IdempotencyKey)>,
+    /// Time of the claim of each record, oldest first.
+    claims: VecDeque<(Timestamp, ServiceName, IdempotencyKey)>,
+    /// Time of the latest tombstone by fingerprint.
     tombstones: BTreeMap<u64, Timestamp>,
-    burials: VecDeque<(Timestamp, u64)>,
+    /// Tombstones in order of time; a fingerprint may occur more than once.
+    tombstones_by_time: VecDeque<(Timestamp, u64)>,
 }
 
 /// A claimed key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRecord {
-    /// Hash of the request it was claimed for.
+    /// Hash of the request, to detect another request under the same key.
     pub digest: [u8; 16],
-    /// Entry host that claimed it.
+    /// Entry host that claimed the key.
     pub entry: EntryId,
-    /// Process of that entry host.
+    /// Process of the entry host; a restarted process does not own the claim.
     pub process: ProcessId,
-    /// Whether the request may run again when it is lost with its entry host.
+    /// Whether the request may run again after the entry host was lost while it was in progress.
     pub idempotent: bool,
-    /// What became of it.
+    /// State of the request.
     pub state: KeyState,
 }
 
-/// What a claim finds.
+/// Result of a claim.
 pub(crate) enum Claim {
-    /// The key is as told.
+    /// The key's state; `Claimed` if the claim succeeded.
     State(KeyState),
-    /// The key is older than what is kept.
+    /// The key's answer has expired; only its tombstone is left.
     Expired,
 }
 
 impl Keys {
-    /// Claims a key for a request, or tells what became of an earlier claim.
+    /// Claims a key for a request, or returns the state of an earlier claim.
     pub(crate) fn claim(
         &mut self,
         now: Timestamp,
@@ -67,7 +70,7 @@
             if found.digest != claim.digest {
                 return Claim::State(KeyState::Mismatch);
             }
-            // The same process asks again after a lost answer: the claim is still its own.
+            // The same process claims again because the answer to its claim was lost.
             let own = (&found.entry, found.process) == (&claim.entry, claim.process);
             return match &found.state {
                 KeyState::InProgress(_) if own => Claim::State(KeyState::Claimed),
@@ -81,16 +84,17 @@
         if self.tombstones.contains_key(&fingerprint(service, key)) {
             return Claim::Expired;
         }
-        self.order.push_back((now, service.clone(), key.clone()));
+        self.claims.push_back((now, service.clone(), key.clone()));
         self.records.insert(id, claim);
         Claim::State(KeyState::Claimed)
     }
 
-    /// Records what became of a claim; a later word than the first final one changes nothing.
+    /// Records the outcome of a claimed request; once a final outcome is recorded, later ones
+    /// are ignored.
     ///
-    /// Only the claimer's word counts. An entry host whose claim was lost on the way says
-    /// `not-run` of it; taken for another's claim, that would free the key while its request is
-    /// in work, and a resend would run it twice.
+    /// Only the process that holds the claim may settle it. An entry host whose claim was lost
+    /// in transit reports `not-run`; applied to the claim of another entry host, this would free
+    /// the key while its request is in progress, and a resend would run it twice.
     pub(crate) fn settle(&mut self, settlement: KeySettlement) {
         let id = (settlement.service, settlement.key);
         let Some(found) = self.records.get_mut(&id) else {
@@ -102,8 +106,8 @@
         }
     }
 
-    /// Marks what a lost process had in progress: it may have run. An idempotent request's key
-    /// is free again.
+    /// Settles the requests that a lost process had in progress: they may have run, so their
+    /// outcome is unknown. The key of an idempotent request becomes free again.
     pub(crate) fn lose_process(&mut self, entry: &EntryId, process: ProcessId) {
         let records = self.records.values_mut();
         for record in records.filter(|r| r.entry == *entry && r.process == process) {
@@ -116,53 +120,54 @@
         }
     }
 
-    /// Turns answers past their time into fingerprints and drops fingerprints past theirs.
+    /// Replaces records older than `retention` by tombstones, and removes tombstones older than
+    /// [`TOMBSTONE_FACTOR`] times that.
     pub(crate) fn forget(&mut self, now: Timestamp, retention: Duration) {
-        while let Some((at, _, _)) = self.order.front() {
-            let kept = *at + retention > now && self.order.len() <= ANSWERS_KEPT;
+        while let Some((at, _, _)) = self.claims.front() {
+            let kept = *at + retention > now && self.claims.len() <= ANSWERS_KEPT;
             if kept {
                 break;
             }
-            let Some((_, service, key)) = self.order.pop_front() else {
+            let Some((_, service, key)) = self.claims.pop_front() else {
                 break;
             };
-            let print = fingerprint(&service, &key);
+            let hash = fingerprint(&service, &key);
             self.records.remove(&(service, key));
-            self.bury(print, now);
+            self.add_tombstone(hash, now);
         }
-        while let Some((at, _)) = self.burials.front() {
-            let kept =
-                *at + retention * TOMBSTONE_FACTOR > now && self.burials.len() <= TOMBSTONES_KEPT;
+        while let Some((at, _)) = self.tombstones_by_time.front() {
+            let kept = *at + retention * TOMBSTONE_FACTOR > now
+                && self.tombstones_by_time.len() <= TOMBSTONES_KEPT;
             if kept {
                 break;
             }
-            let Some((at, print)) = self.burials.pop_front() else {
+            let Some((at, hash)) = self.tombstones_by_time.pop_front() else {
                 break;
             };
-            if self.tombstones.get(&print) == Some(&at) {
-                self.tombstones.remove(&print);
+            if self.tombstones.get(&hash) == Some(&at) {
+                self.tombstones.remove(&hash);
             }
         }
     }
 
-    /// Remembers that a job of this name existed.
-    pub(crate) fn bury_job(&mut self, name: &JobName, now: Timestamp) {
-        self.bury(fingerprint(&CompactString::const_new("job"), name), now);
+    /// Adds a tombstone for a removed job, so that a resend of its submission is refused.
+    pub(crate) fn add_job_tombstone(&mut self, name: &JobName, now: Timestamp) {
+        self.add_tombstone(fingerprint(&CompactString::const_new("job"), name), now);
     }
 
-    /// Whether a job of this name existed and is forgotten.
-    pub(crate) fn job_is_buried(&self, name: &JobName) -> bool {
+    /// Whether a job of this name existed and its record was removed.
+    pub(crate) fn has_job_tombstone(&self, name: &JobName) -> bool {
         self.tombstones
             .contains_key(&fingerprint(&CompactString::const_new("job"), name))
     }
 
-    fn bury(&mut self, print: u64, now: Timestamp) {
-        self.tombstones.insert(print, now);
-        self.burials.push_back((now, print));
+    fn add_tombstone(&mut self, hash: u64, now: Timestamp) {
+        self.tombstones.insert(hash, now);
+        self.tombstones_by_time.push_back((now, hash));
     }
 }
 
-/// A short hash of a scope and a key; two keys share one with a chance of 2^-64 a pair.
+/// A 64-bit hash of a scope and a key; any two keys collide with probability 2^-64.
 fn fingerprint(scope: &str, key: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher
@@ -170,7 +175,7 @@
         .update(&[0])
         .update(key.as_bytes());
     let hash = hasher.finalize();
-    let mut print = [0; 8];
-    print.copy_from_slice(&hash.as_bytes()[..8]);
-    u64::from_le_bytes(print)
+    let mut prefix = [0; 8];
+    prefix.copy_from_slice(&hash.as_bytes()[..8]);
+    u64::from_le_bytes(prefix)
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! The cell's replicated state: a deterministic machine that commands change and queries read.
+//! The cell's replicated state: a deterministic state machine, changed by commands and read by
+//! queries.
 
 mod cell;
 mod commands;
--- a/src/state/queries/feed.rs
+++ b/src/state/queries/feed.rs
@@ -1,10 +1,11 @@
-//! What an entry host must hold.
+//! The feed that control sends to entry hosts.
 
 use crate::state::Cell;
 use crate::wire::{Feed, OwnedMinion, PeerEntry};
 
 impl Cell {
-    /// Everything an entry host must hold.
+    /// The complete feed: the document in force, the entry hosts that aren't leaving, and all
+    /// minions with their owners.
     pub fn feed(&self) -> Feed {
         let revision = self.revision();
         let entries = self.entries.iter().filter(|(_, entry)| !entry.leaving);
--- a/src/state/queries/jobs.rs
+++ b/src/state/queries/jobs.rs
@@ -1,4 +1,4 @@
-//! A job as a caller sees it, and the tasks a worker must hold.
+//! The view of a job for callers, and the runs assigned to a worker.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use crate::wire::{AssignedRun, JobView, StopRun, WorkerTasks};
 use crate::workload::TaskRun;
 
-/// Workers named in a job's view at most.
+/// Maximum number of workers listed in a job's view.
 const WORKERS_SHOWN: usize = 20;
 
 impl Cell {
-    /// A job's state, without the reason it waits, which only the leader's placer knows.
+    /// A job's state. The reason why it waits is missing: only the leader's placer has it.
     pub fn view_job(&self, name: &JobName) -> Option<JobView> {
         let (_, job) = self.job(name)?;
         Some(JobView {
@@ -43,7 +43,8 @@
             .collect()
     }
 
-    /// What a worker must hold and what it must stop, given the runs it says it holds.
+    /// The runs assigned to a worker and the runs it must stop, given the runs it reports in
+    /// `holds`. The lease is left at zero for the caller to set.
     pub fn tasks_for(&self, worker: WorkerNumber, holds: &[TaskRun]) -> WorkerTasks {
         let mut tasks = WorkerTasks {
             lease: Duration::ZERO,
@@ -71,7 +72,7 @@
             }
             tasks.assigned.push(assigned(job, run, running.granted));
         }
-        // A run the cell does not know of there is an orphan of an earlier lease.
+        // A reported run that isn't assigned to the worker is left over from an earlier lease.
         let orphans = holds
             .iter()
             .filter(|run| !tasks.assigned.iter().any(|a| a.run == **run));
--- a/src/state/queries/mod.rs
+++ b/src/state/queries/mod.rs
@@ -1,4 +1,4 @@
-//! Queries: reads of the cell that change nothing.
+//! Read-only queries of the cell.
 
 mod feed;
 mod jobs;
--- a/src/state/queries/restore.rs
+++ b/src/state/queries/restore.rs
@@ -1,4 +1,4 @@
-//! The events from which a new leader builds its placer.
+//! The events from which a new leader rebuilds its placer.
 
 use std::sync::Arc;
 
@@ -7,11 +7,12 @@
 use crate::state::records::{JobRecord, TaskPhase, TaskRecord, Verdict};
 use crate::workload::TaskId;
 
-/// Events that bring an empty placer to the cell's state.
+/// Events that bring an empty placer to the cell's present state.
 pub type ReplayedEvents = Vec<Event>;
 
 impl Cell {
-    /// The whole state as events: policy, teams, workers, drains, then live jobs.
+    /// The state as events: policy, teams, workers with their drains, then jobs that have not
+    /// ended.
     pub fn replayed_events(&self) -> ReplayedEvents {
         let document = self.document();
         let mut events = vec![
--- a/src/state/queries/tables.rs
+++ b/src/state/queries/tables.rs
@@ -1,4 +1,4 @@
-//! Rows of the operators' tables, as far as the replicated state knows them.
+//! Rows of the operators' tables that come from the replicated state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::wire::JobView;
 
 impl Cell {
-    /// Jobs, the latest first, at most `limit`.
+    /// The `limit` jobs accepted last, newest first.
     pub fn job_views(&self, limit: usize) -> Vec<JobView> {
         let latest = self.jobs.values().rev().take(limit);
         latest
@@ -18,7 +18,7 @@
             .collect()
     }
 
-    /// Workers by name, with how long each has been silent.
+    /// Workers sorted by name; `silent` returns the time since a worker's last poll.
     pub fn worker_rows(&self, silent: impl Fn(u32) -> Duration) -> Vec<WorkerRow> {
         let numbers = self.worker_numbers.values();
         let rows = numbers.filter_map(|number| {
@@ -28,7 +28,7 @@
         rows.collect()
     }
 
-    /// Teams of the document with what they use.
+    /// Teams of the document with their quotas and the resources that their running tasks use.
     pub fn team_rows(&self) -> Vec<TeamRow> {
         let document = self.document();
         let rows = document.teams.iter().map(|(name, team)| {
@@ -53,7 +53,7 @@
         rows.into_values().collect()
     }
 
-    /// Accepted documents that are kept, the latest first.
+    /// Accepted documents that are still kept, newest first.
     pub fn revision_rows(&self) -> Vec<RevisionRow> {
         let records = self.documents.iter().rev();
         let rows = records.map(|record| RevisionRow {
@@ -64,7 +64,7 @@
         rows.collect()
     }
 
-    /// The audit log, the latest first.
+    /// Entries of the audit log, newest first.
     pub fn audit_rows(&self) -> Vec<AuditRow> {
         let records = self.audit.iter().rev();
         let rows = records.map(|record| AuditRow {
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -1,4 +1,4 @@
-//! The records the cell keeps.
+//! Records of the replicated state.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,171 +15,173 @@
 use crate::wire::{JobPhase, MinionAnnouncement, StopKind};
 use crate::workload::{JobSpec, WorkerSpec};
 
-/// Short name of a job in the log.
+/// Number that stands for a job's name in the log; never reused.
 pub type JobNumber = u32;
-/// Short name of a worker in the log.
+/// Number that stands for a worker's name in the log; never reused.
 pub type WorkerNumber = u32;
 
 /// An accepted document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DocumentRecord {
-    /// Its number.
+    /// Number of this document, one more than the one before.
     pub revision: Revision,
-    /// When it was accepted, on the leader's clock.
+    /// Time of acceptance, by the leader's clock since the Unix epoch.
     pub at: Timestamp,
-    /// Who sent it.
+    /// Operator who sent it.
     pub who: CompactString,
-    /// The document.
+    /// Content of the document.
     pub document: Arc<Document>,
-    /// Key under which it was sent.
+    /// Idempotency key of the request; a resend under it gets this revision.
     pub key: Option<IdempotencyKey>,
 }
 
-/// One change that an operator or caller made.
+/// Entry of the audit log: one change by an operator or caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRecord {
-    /// When, on the leader's clock.
+    /// Time of the change, by the leader's clock since the Unix epoch.
     pub at: Timestamp,
-    /// Who.
+    /// Operator or caller who made the change.
     pub who: CompactString,
-    /// What, in one sentence without secrets.
+    /// The change in one sentence, without secrets.
     pub what: CompactString,
 }
 
-/// A job.
+/// An accepted job and its tasks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What it needs.
+    /// Spec as accepted, or as last changed by a document.
     pub spec: Arc<JobSpec>,
-    /// When it was accepted.
+    /// Time of acceptance.
     pub at: Timestamp,
-    /// Whether the document declares it.
+    /// Whether the job comes from the document's workloads and not from a caller.
     pub declared: bool,
-    /// When its first task started.
+    /// Time of the first start of any of its tasks.
     pub first_start: Option<Timestamp>,
-    /// When nothing of it was left to run.
+    /// Time from which no task was waiting or running; `None` until then.
     pub ended: Option<Timestamp>,
-    /// A decision over the job as a whole.
+    /// Decision on the whole job, if one was made.
     pub verdict: Option<Verdict>,
-    /// Why it was given up.
+    /// Why it failed or can't run, in one sentence; empty otherwise.
     pub reason: CompactString,
-    /// Starts of all its tasks.
+    /// Number of starts, summed over all tasks.
     pub starts: u32,
-    /// Its tasks by index.
+    /// Tasks by index; after a reduction more than `spec.tasks`.
     pub tasks: Vec<TaskRecord>,
 }
 
-/// A decision over a job as a whole.
+/// Decision on a whole job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
     /// Cancelled by a caller, an operator or the document.
     Cancelled,
-    /// Given up after its attempts or by its rule.
+    /// Failed: the attempts are used up, or its rule for lost gang members says so.
     GivenUp,
-    /// Can never run in this cell as it is; waits for a change of the cell.
+    /// Can't run with the cell's present workers; stays waiting in case they change.
     NeverRuns,
 }
 
-/// A task.
+/// State of one task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRecord {
-    /// Number of its latest start.
+    /// Number of the latest start; 0 before the first.
     pub attempt: Attempt,
-    /// Times it was preempted.
+    /// Number of times that the task was preempted.
     pub preemptions: u32,
-    /// Its state.
+    /// Present phase.
     pub phase: TaskPhase,
 }
 
-/// State of a task.
+/// Phase of a task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskPhase {
-    /// Waits for a start.
+    /// May be started.
     #[default]
     Waiting,
-    /// Runs, or may run, on a worker.
+    /// Was started on a worker, and may run there until it is reported ended or the lease expires.
     Running(RunningTask),
-    /// Done.
+    /// Finished its work.
     Done,
-    /// Given up.
+    /// Failed, and not to be started again.
     Failed,
-    /// May have run; will not start again.
+    /// May have run, with unknown outcome. Never started again, since that could do its work
+    /// twice.
     Unknown,
-    /// Never starts again.
+    /// Cancelled with its job, or surplus after the job was reduced.
     Cancelled,
 }
 
-/// Where a task runs.
+/// A running task's worker and resources.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningTask {
-    /// The worker.
+    /// Worker that the task was started on.
     pub worker: WorkerNumber,
-    /// What it was granted there.
+    /// Resources granted on that worker.
     pub granted: Resources,
-    /// When it was granted.
+    /// Time of the start.
     pub since: Timestamp,
-    /// How it must end, if it must.
+    /// Order to stop, checkpoint or throttle the run, if one was given.
     pub order: Option<StopKind>,
 }
 
-/// A worker.
+/// A worker that has joined.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerRecord {
-    /// As it announced itself.
+    /// Spec from its latest poll.
     pub spec: WorkerSpec,
-    /// Its process.
+    /// Process that holds the lease.
     pub process: ProcessId,
-    /// Sum of what is granted on it.
+    /// Sum of the resources granted to its runs.
     pub granted: Resources,
-    /// Runs granted on it.
+    /// Its runs by job and task index.
     pub runs: BTreeSet<(JobNumber, TaskIndex)>,
-    /// Whether it gets no work but a trial.
+    /// Whether it gets no tasks except a trial run, because runs on it kept failing.
     pub quarantined: bool,
-    /// When it must be empty, while it is drained.
+    /// Time by which it must be empty; `None` when no drain applies.
     pub drain: Option<Timestamp>,
-    /// Whether it announced that it leaves.
+    /// Whether it announced that it leaves; it gets no more tasks then.
     pub leaving: bool,
 }
 
-/// An entry host.
+/// An entry host that has joined.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRecord {
-    /// Its process.
+    /// Process that holds the lease.
     pub process: ProcessId,
-    /// Its availability zone.
+    /// Availability zone, preferred in the assignment of minions.
     pub zone: ZoneName,
-    /// Where it takes forwarded requests.
+    /// Address at which it takes requests forwarded by other entry hosts.
     pub peer_addr: std::net::SocketAddr,
-    /// Whether it stops as planned.
+    /// Whether it began a planned stop; it gets no more minions then.
     pub leaving: bool,
 }
 
 /// A minion and its owner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MinionRecord {
-    /// As it announced itself.
+    /// Latest announcement; its `ttl` is zero once the announcement has expired.
     pub announced: MinionAnnouncement,
-    /// The entry host that may use it.
+    /// The only entry host that may send requests to it.
     pub owner: Option<EntryId>,
-    /// Number of this ownership.
+    /// Number of the present ownership; increases with each new owner.
     pub epoch: u64,
-    /// Whether it leaves.
+    /// Whether the minion announced that it leaves.
     pub leaving: bool,
-    /// Whether the owner must give it up.
+    /// Whether the owner must finish its requests there and release it.
     pub release: bool,
-    /// Whether the owner before was lost.
+    /// Whether the previous owner was lost, so requests of it may still be in progress there.
     pub lapsed: bool,
 }
 
 impl MinionRecord {
-    /// Whether its announcement lapsed: it holds for no time, which none that is taken in does.
+    /// Whether its announcement expired. This is recorded as a `ttl` of zero, which no accepted
+    /// announcement has.
     pub const fn is_silent(&self) -> bool {
         self.announced.ttl.is_zero()
     }
 }
 
 impl TaskRecord {
-    /// Where the task runs, while it does.
+    /// The run of the task; `None` unless it is running.
     pub fn running(&self) -> Option<&RunningTask> {
         match &self.phase {
             TaskPhase::Running(running) => Some(running),
@@ -189,24 +191,26 @@
 }
 
 impl JobRecord {
-    /// Number of tasks for which the test holds.
+    /// Number of tasks whose phase satisfies `test`.
     pub fn count(&self, test: impl Fn(&TaskPhase) -> bool) -> u32 {
         self.tasks.iter().filter(|task| test(&task.phase)).count() as u32
     }
 
-    /// Whether the job's tasks are kept at their count instead of ending by themselves.
+    /// Whether the job keeps its number of tasks running instead of ending, as services and
+    /// watchers do.
     pub fn long_running(&self) -> bool {
         long_running(&self.spec)
     }
 
-    /// Whether a task of this job may start again after it may have run.
+    /// Whether a task of this job may be started again after it may have run.
     ///
-    /// Services and watchers are kept at their count; the lease keeps two runs apart.
+    /// Services and watchers are always restarted: the worker's lease ensures that the old run has
+    /// ended before the new one starts.
     pub fn restarts(&self) -> bool {
         self.spec.idempotent || self.long_running()
     }
 
-    /// State of the job as a whole.
+    /// Phase of the whole job, derived from its verdict and the phases of its tasks.
     pub fn phase(&self) -> JobPhase {
         let waiting = self.count(|p| *p == TaskPhase::Waiting);
         let running = self.count(|p| matches!(p, TaskPhase::Running(_)));
--- a/src/state/rows.rs
+++ b/src/state/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the operators' tables, as the HTTP interface gives them in JSON.
+//! Rows of the operators' tables, as the HTTP API returns them in JSON.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,113 +13,113 @@
 use crate::replication::Role;
 use crate::resources::Resources;
 
-/// One accepted document in the history.
+/// An accepted document in the table of the history.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RevisionRow {
-    /// Its number.
+    /// Number of the document.
     pub revision: Revision,
-    /// When it was accepted, since the Unix epoch.
+    /// Time of acceptance, since the Unix epoch.
     pub at: Timestamp,
-    /// Who changed it.
+    /// Operator who sent it.
     pub who: CompactString,
 }
 
-/// A worker as operators see it.
+/// A worker in the operators' table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerRow {
-    /// Its name.
+    /// Unique name.
     pub id: WorkerId,
     /// Availability zone.
     pub zone: ZoneName,
-    /// Rack.
+    /// Rack within the availability zone.
     pub rack: RackName,
-    /// What it holds in all.
+    /// Total resources.
     pub capacity: Resources,
-    /// Type of its accelerators.
+    /// Type of its accelerators, if it has any.
     pub accelerator: Option<AcceleratorName>,
-    /// What control has granted there.
+    /// Resources granted to its runs.
     pub granted: Resources,
-    /// Runs it holds.
+    /// Number of runs on it.
     pub runs: u32,
     /// `ready`, `draining`, `quarantined` or `gone`.
     pub state: CompactString,
-    /// Time since its last poll.
+    /// Time since its last poll, as measured by the leader.
     pub silent: Duration,
 }
 
-/// A minion as operators see it.
+/// A minion in the operators' table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MinionRow {
-    /// Its name.
+    /// Unique name.
     pub id: MinionId,
-    /// Service it answers.
+    /// Service whose requests it answers.
     pub service: ServiceName,
     /// Availability zone.
     pub zone: ZoneName,
-    /// Where it takes requests.
+    /// Address at which it takes requests.
     pub addr: SocketAddr,
-    /// Requests it works on at once.
+    /// Number of requests that it can process concurrently.
     pub slots: u32,
-    /// Entry host that owns it.
+    /// Entry host that owns it; `None` while it is unassigned.
     pub owner: Option<EntryId>,
-    /// Whether it leaves.
+    /// Whether it announced that it leaves, or its announcement expired.
     pub leaving: bool,
 }
 
-/// An entry host as operators see it.
+/// An entry host in the operators' table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryRow {
-    /// Its name.
+    /// Unique name.
     pub id: EntryId,
     /// Availability zone.
     pub zone: ZoneName,
-    /// Where peers forward to it.
+    /// Address at which other entry hosts forward requests to it.
     pub peer_addr: SocketAddr,
-    /// Document revision in force there.
+    /// Document revision that it reports to have in force; 0 if it hasn't reported to this leader.
     pub in_force: Revision,
-    /// Minions it owns.
+    /// Number of minions it owns.
     pub minions: u32,
-    /// Time since its last renewal.
+    /// Time since its last lease renewal, as measured by the leader.
     pub silent: Duration,
 }
 
-/// A control replica as operators see it.
+/// A control replica in the operators' table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaRow {
-    /// Its number.
+    /// Random number that identifies the replica.
     pub id: ReplicaId,
-    /// Availability zone, if known.
+    /// Availability zone; empty if unknown.
     pub zone: ZoneName,
-    /// Where other replicas reach it, if known.
+    /// Address at which other replicas reach it, if known.
     pub addr: Option<SocketAddr>,
-    /// Its part.
+    /// Role in the replication group.
     pub role: Role,
-    /// Last entry it is known to hold.
+    /// Index of the last log entry that it is known to hold.
     pub matched: u64,
 }
 
-/// A team's use against its quota.
+/// A team's quota and usage in the operators' table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamRow {
-    /// Its name.
+    /// Unique name.
     pub name: TeamName,
-    /// Guaranteed share.
+    /// Guaranteed resources.
     pub quota: Resources,
-    /// What its tasks hold.
+    /// Resources granted to its running tasks.
     pub used: Resources,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
-    /// Tasks that wait.
+    /// Number of waiting tasks.
     pub waiting: u32,
 }
 
-/// One change in the audit log.
+/// An entry of the audit log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditRow {
-    /// When, since the Unix epoch.
+    /// Time of the change, since the Unix epoch.
     pub at: Timestamp,
-    /// Who.
+    /// Operator or caller who made the change.
     pub who: CompactString,
-    /// What, in one sentence without secrets.
+    /// The change in one sentence, without secrets.
     pub what: String,
 }
--- a/src/state/snapshot.rs
+++ b/src/state/snapshot.rs
@@ -1,19 +1,19 @@
-//! The whole state as bytes, with a format version in front.
+//! Encoding of the replicated state as a snapshot, with the format version first.
 
 use super::Cell;
 use crate::error::{Error, Result, Step};
 
-/// Version of the encoded state and of the commands; another one is refused by number.
+/// Format version of snapshots and commands; decoding another version is an error that names it.
 pub const STATE_VERSION: u16 = 1;
 
 impl Cell {
-    /// Encodes the whole state.
+    /// Encodes the state as a snapshot.
     pub fn to_bytes(&self) -> Result<Vec<u8>> {
         postcard::to_allocvec(&(STATE_VERSION, self))
             .map_err(|e| Error::caused(Step::Codec, "encoding the state", e))
     }
 
-    /// Decodes the whole state.
+    /// Decodes a snapshot; fails on another format version.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self> {
         let (version, rest) = postcard::take_from_bytes::<u16>(bytes)
             .map_err(|e| Error::caused(Step::Codec, "decoding the state's version", e))?;
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -1,4 +1,4 @@
-//! The cell's state machine: what commands do, and what they refuse.
+//! The replicated state machine: the effects of commands, and when they are refused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 const DAY: Duration = Duration::from_secs(24 * 3600);
 
-struct Bench {
+struct Fixture {
     cell: Cell,
     now: Duration,
 }
@@ -43,13 +43,13 @@
     doc
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
-        let mut bench = Self {
+        let mut cx = Self {
             cell: Cell::default(),
             now: Duration::from_secs(1_000_000),
         };
-        assert_eq!(bench.put(0, document(), None), Reply::Revision(1));
+        assert_eq!(cx.put(0, document(), None), Reply::Revision(1));
         for id in ["w0", "w1"] {
             let spec = WorkerSpec {
                 id: id.into(),
@@ -58,9 +58,9 @@
                 capacity: Resources::new(32, 64_000, 0),
                 accelerator: None,
             };
-            bench.apply(Command::WorkerUp { spec, process: 1 });
+            cx.apply(Command::WorkerUp { spec, process: 1 });
         }
-        bench
+        cx
     }
 
     fn apply(&mut self, command: Command) -> Reply {
@@ -120,29 +120,29 @@
 
 #[test]
 fn a_full_worker_gets_nothing_more() {
-    // A placer with an old view starts a third task of 16 cores on a worker of 32. The log
-    // carries the start to every replica; each refuses it, the task goes on waiting.
-    let mut bench = Bench::new();
+    // A placer with outdated state starts a third task of 16 cores on a worker of 32 cores. Every
+    // replica refuses the start, and the task stays waiting.
+    let mut cx = Fixture::new();
     for (job, name) in ["a", "b", "c"].iter().enumerate() {
-        bench.submit(name, "sum");
-        bench.start(job as u32, 0);
+        cx.submit(name, "sum");
+        cx.start(job as u32, 0);
     }
-    assert_eq!(bench.phase(1), JobPhase::Running);
-    assert_eq!(bench.phase(2), JobPhase::Waiting);
-    assert_eq!(bench.cell.workers[&0].granted, Resources::new(32, 2_000, 0));
+    assert_eq!(cx.phase(1), JobPhase::Running);
+    assert_eq!(cx.phase(2), JobPhase::Waiting);
+    assert_eq!(cx.cell.workers[&0].granted, Resources::new(32, 2_000, 0));
 }
 
 #[test]
 fn a_task_that_runs_is_not_started_again() {
-    // Two starts of one task are in the log, as after a change of leaders. The second finds the
-    // task running and does nothing.
-    let mut bench = Bench::new();
-    bench.submit("a", "plan");
-    bench.start(0, 0);
-    bench.start(0, 1);
-    let task = &bench.cell.jobs[&0].tasks[0];
+    // After a change of leader the log can hold two starts of one task. The second must do
+    // nothing, because the task is running.
+    let mut cx = Fixture::new();
+    cx.submit("a", "plan");
+    cx.start(0, 0);
+    cx.start(0, 1);
+    let task = &cx.cell.jobs[&0].tasks[0];
     assert_eq!((task.attempt, task.running().unwrap().worker), (1, 0));
-    assert!(bench.cell.workers[&1].runs.is_empty());
+    assert!(cx.cell.workers[&1].runs.is_empty());
 }
 
 #[rstest]
@@ -156,25 +156,26 @@
     #[case] job: JobPhase,
     #[case] task: TaskPhase,
 ) {
-    // A worker's lease runs out while a task may be running there. Only what may run twice, or
-    // is proved not to have started, waits for another start.
-    let mut bench = Bench::new();
-    bench.submit("a", kind);
-    bench.start(0, 0);
-    bench.lose(0, never_sent);
-    assert_eq!(bench.phase(0), job);
-    assert_eq!(bench.cell.jobs[&0].tasks[0].phase, task);
+    // A worker's lease expires while a task may be running there. The task waits for another
+    // start only if it may run twice or was never sent to the worker.
+    let mut cx = Fixture::new();
+    cx.submit("a", kind);
+    cx.start(0, 0);
+    cx.lose(0, never_sent);
+    assert_eq!(cx.phase(0), job);
+    assert_eq!(cx.cell.jobs[&0].tasks[0].phase, task);
 }
 
 #[test]
-fn a_late_word_settles_an_unknown_outcome() {
-    // A worker is cut off, its plan becomes unknown, then it comes back and reports the end.
-    let mut bench = Bench::new();
-    bench.submit("a", "plan");
-    bench.start(0, 0);
-    bench.lose(0, vec![]);
-    bench.report(0, 0, 1, RunEnd::Done);
-    assert_eq!(bench.phase(0), JobPhase::Done);
+fn a_late_report_resolves_an_unknown_outcome() {
+    // A worker is cut off until its lease expires, and the outcome of its run is unknown. Then it
+    // reconnects and reports how the run ended.
+    let mut cx = Fixture::new();
+    cx.submit("a", "plan");
+    cx.start(0, 0);
+    cx.lose(0, vec![]);
+    cx.report(0, 0, 1, RunEnd::Done);
+    assert_eq!(cx.phase(0), JobPhase::Done);
 }
 
 #[rstest]
@@ -186,33 +187,34 @@
 #[case("plan", RunEnd::Checkpointed, TaskPhase::Waiting)]
 #[case("watch", RunEnd::Done, TaskPhase::Waiting)]
 fn an_ended_run(#[case] kind: &str, #[case] end: RunEnd, #[case] expected: TaskPhase) {
-    let mut bench = Bench::new();
-    bench.submit("a", kind);
-    bench.start(0, 0);
-    bench.report(0, 0, 1, end);
-    assert_eq!(bench.cell.jobs[&0].tasks[0].phase, expected);
-    assert_eq!(bench.cell.workers[&0].granted, Resources::ZERO);
+    let mut cx = Fixture::new();
+    cx.submit("a", kind);
+    cx.start(0, 0);
+    cx.report(0, 0, 1, end);
+    assert_eq!(cx.cell.jobs[&0].tasks[0].phase, expected);
+    assert_eq!(cx.cell.workers[&0].granted, Resources::ZERO);
 }
 
 #[test]
 fn an_old_report_changes_nothing() {
-    // A report of the first start arrives after the second has begun elsewhere: it must not end
-    // the second.
-    let mut bench = Bench::new();
-    bench.submit("a", "sum");
-    bench.start(0, 0);
-    bench.lose(0, vec![]);
-    bench.start(0, 1);
-    bench.report(0, 0, 1, RunEnd::Done);
-    assert_eq!(bench.cell.jobs[&0].tasks[0].running().unwrap().worker, 1);
+    // A report of the first run arrives after the task was started again on another worker. It
+    // must not end the second run.
+    let mut cx = Fixture::new();
+    cx.submit("a", "sum");
+    cx.start(0, 0);
+    cx.lose(0, vec![]);
+    cx.start(0, 1);
+    cx.report(0, 0, 1, RunEnd::Done);
+    assert_eq!(cx.cell.jobs[&0].tasks[0].running().unwrap().worker, 1);
 }
 
 #[test]
 fn work_that_cannot_resume_is_not_preempted() {
-    // A placer orders a plan to stop for urgent work. A stopped plan could never run again.
-    let mut bench = Bench::new();
-    bench.submit("a", "plan");
-    bench.start(0, 0);
+    // A placer stops a run for urgent work, although it can be neither resumed nor run again. The
+    // order must be ignored, or the work would be lost.
+    let mut cx = Fixture::new();
+    cx.submit("a", "plan");
+    cx.start(0, 0);
     let order = RunOrder {
         job: 0,
         index: 0,
@@ -220,35 +222,35 @@
         how: StopKind::Stop,
         reason: yuccahold::placement::StopReason::Preempted,
     };
-    bench.apply(Command::Stop(vec![order]));
-    assert_eq!(bench.cell.jobs[&0].tasks[0].running().unwrap().order, None);
+    cx.apply(Command::Stop(vec![order]));
+    assert_eq!(cx.cell.jobs[&0].tasks[0].running().unwrap().order, None);
 }
 
 #[test]
 fn a_cancelled_job_never_starts() {
-    let mut bench = Bench::new();
-    bench.submit("a", "plan");
+    let mut cx = Fixture::new();
+    cx.submit("a", "plan");
     let cancel = Command::CancelJob {
         job: "a".into(),
         who: "ana".into(),
     };
-    let Reply::Job(view) = bench.apply(cancel) else {
+    let Reply::Job(view) = cx.apply(cancel) else {
         panic!("no view")
     };
     assert_eq!(view.phase, JobPhase::Cancelled);
-    bench.start(0, 0);
-    assert_eq!(bench.cell.jobs[&0].starts, 0);
+    cx.start(0, 0);
+    assert_eq!(cx.cell.jobs[&0].starts, 0);
 }
 
 #[test]
 fn a_resent_job_is_one_job() {
-    // A caller's answer is lost and it sends the same job again: one job. Another kind under
-    // the same name is a conflict.
-    let mut bench = Bench::new();
-    let first = bench.submit("a", "plan");
-    assert_eq!(bench.submit("a", "plan"), first);
-    assert_eq!(bench.cell.jobs.len(), 1);
-    let Reply::Refused(refusal) = bench.submit("a", "sum") else {
+    // A caller whose answer was lost submits the same job again: only one job exists. Another
+    // kind under the same name is a conflict.
+    let mut cx = Fixture::new();
+    let first = cx.submit("a", "plan");
+    assert_eq!(cx.submit("a", "plan"), first);
+    assert_eq!(cx.cell.jobs.len(), 1);
+    let Reply::Refused(refusal) = cx.submit("a", "sum") else {
         panic!("accepted")
     };
     assert_eq!(refusal.kind, RefusalKind::Conflict);
@@ -256,22 +258,22 @@
 
 #[test]
 fn two_operators_under_one_revision() {
-    // Both read revision 1 and change it. One wins; the other learns which revision is in force.
-    // The winner's resend after a lost answer gets its first answer.
-    let mut bench = Bench::new();
+    // Both change revision 1. The first is accepted; the second is refused with the revision in
+    // force. A resend of the first under its key gets the same reply again.
+    let mut cx = Fixture::new();
     let mut ours = document();
     ours.kinds.remove("sum");
-    assert_eq!(bench.put(1, ours.clone(), Some("k1")), Reply::Revision(2));
-    assert_eq!(bench.put(1, document(), Some("k2")), Reply::Stale(2));
-    assert_eq!(bench.put(1, ours.clone(), Some("k1")), Reply::Revision(2));
-    assert_eq!(*bench.cell.document(), ours);
+    assert_eq!(cx.put(1, ours.clone(), Some("k1")), Reply::Revision(2));
+    assert_eq!(cx.put(1, document(), Some("k2")), Reply::Stale(2));
+    assert_eq!(cx.put(1, ours.clone(), Some("k1")), Reply::Revision(2));
+    assert_eq!(*cx.cell.document(), ours);
 }
 
 #[test]
-fn a_declared_watcher_changes_form_only_after_the_old_one_ended() {
-    // An operator changes the payload of a running watcher. The new form must not start while
-    // the old one runs, or a reconciliation would be paid twice.
-    let mut bench = Bench::new();
+fn a_changed_watcher_starts_only_after_the_old_run_ended() {
+    // An operator changes the payload of a running watcher. The new run must not start while the
+    // old one is running, or a payment could be made twice.
+    let mut cx = Fixture::new();
     let mut doc = document();
     let workload = Workload {
         kind: "watch".into(),
@@ -279,17 +281,17 @@
         payload: "v1".into(),
     };
     doc.workloads.insert("ledger".into(), workload);
-    bench.put(1, doc.clone(), None);
-    bench.start(0, 0);
+    cx.put(1, doc.clone(), None);
+    cx.start(0, 0);
     doc.workloads.get_mut("ledger").unwrap().payload = "v2".into();
-    bench.put(2, doc, None);
-    assert_eq!(bench.cell.jobs.len(), 1);
+    cx.put(2, doc, None);
+    assert_eq!(cx.cell.jobs.len(), 1);
     assert_eq!(
-        bench.cell.jobs[&0].tasks[0].running().unwrap().order,
+        cx.cell.jobs[&0].tasks[0].running().unwrap().order,
         Some(StopKind::Stop)
     );
-    bench.report(0, 0, 1, RunEnd::Stopped);
-    let (_, job) = bench.cell.job(&"ledger".into()).unwrap();
+    cx.report(0, 0, 1, RunEnd::Stopped);
+    let (_, job) = cx.cell.job(&"ledger".into()).unwrap();
     assert_eq!(
         (job.spec.payload.as_str(), job.phase()),
         ("v2", JobPhase::Waiting)
@@ -319,85 +321,75 @@
 
 #[test]
 fn one_key_at_two_entry_hosts_runs_once() {
-    // A client resends under its key to another entry host while the first still works on it.
-    let mut bench = Bench::new();
-    assert_eq!(
-        bench.apply(claim("k", 1, "e1")),
-        Reply::Key(KeyState::Claimed)
-    );
+    // A client resends a request under its key to another entry host while the first entry host
+    // still has it in progress.
+    let mut cx = Fixture::new();
+    assert_eq!(cx.apply(claim("k", 1, "e1")), Reply::Key(KeyState::Claimed));
     let in_progress = Reply::Key(KeyState::InProgress("e1".into()));
-    assert_eq!(bench.apply(claim("k", 1, "e2")), in_progress);
+    assert_eq!(cx.apply(claim("k", 1, "e2")), in_progress);
     assert_eq!(
-        bench.apply(claim("k", 2, "e2")),
+        cx.apply(claim("k", 2, "e2")),
         Reply::Key(KeyState::Mismatch)
     );
-    bench.apply(settle("k", "e1", KeyState::NotRun));
-    assert_eq!(
-        bench.apply(claim("k", 1, "e2")),
-        Reply::Key(KeyState::Claimed)
-    );
+    cx.apply(settle("k", "e1", KeyState::NotRun));
+    assert_eq!(cx.apply(claim("k", 1, "e2")), Reply::Key(KeyState::Claimed));
 }
 
 #[test]
 fn a_lost_claim_does_not_free_the_key_of_another() {
-    // The claim of e1 is lost on the way, and e1 keeps saying that nothing ran under it. Until
-    // that word arrives, e2 has claimed the key and works on the request. The key stays taken.
-    let mut bench = Bench::new();
-    bench.apply(claim("k", 1, "e2"));
-    bench.apply(settle("k", "e1", KeyState::NotRun));
+    // The claim of e1 is lost in transit, and e1 settles it as not run. By the time this arrives,
+    // e2 has claimed the key and has the request in progress. The key must stay claimed.
+    let mut cx = Fixture::new();
+    cx.apply(claim("k", 1, "e2"));
+    cx.apply(settle("k", "e1", KeyState::NotRun));
     let in_progress = Reply::Key(KeyState::InProgress("e2".into()));
-    assert_eq!(bench.apply(claim("k", 1, "e3")), in_progress);
+    assert_eq!(cx.apply(claim("k", 1, "e3")), in_progress);
 }
 
 #[test]
 fn an_idempotent_key_of_a_lost_entry_host_is_free() {
-    // The entry host that claimed the key dies. The request may run twice, so a resend through
-    // another entry host runs it instead of being told that its outcome is unknown.
-    let mut bench = Bench::new();
-    bench.apply(Command::EntryUp(hello("e1")));
+    // The entry host that claimed the key is lost. The request is idempotent, so a resend through
+    // another entry host runs it instead of reporting an unknown outcome.
+    let mut cx = Fixture::new();
+    cx.apply(Command::EntryUp(hello("e1")));
     let Command::ClaimKey(first) = claim("k", 1, "e1") else {
-        unreachable!("a claim is a claim")
+        unreachable!("claim() returns ClaimKey")
     };
     let idempotent = KeyClaim {
         idempotent: true,
         ..first
     };
-    bench.apply(Command::ClaimKey(idempotent));
-    bench.apply(Command::EntryDown {
+    cx.apply(Command::ClaimKey(idempotent));
+    cx.apply(Command::EntryDown {
         entry: "e1".into(),
         process: 7,
     });
-    assert_eq!(
-        bench.apply(claim("k", 1, "e2")),
-        Reply::Key(KeyState::Claimed)
-    );
+    assert_eq!(cx.apply(claim("k", 1, "e2")), Reply::Key(KeyState::Claimed));
 }
 
 #[test]
 fn a_key_of_a_lost_entry_host_is_unknown() {
-    // The entry host that claimed the key dies with the request in flight: it may have run.
-    let mut bench = Bench::new();
-    bench.apply(Command::EntryUp(hello("e1")));
-    bench.apply(claim("k", 1, "e1"));
-    bench.apply(Command::EntryDown {
+    // The entry host that claimed the key is lost with the request in flight. The request may have
+    // run, so a resend must not run it again.
+    let mut cx = Fixture::new();
+    cx.apply(Command::EntryUp(hello("e1")));
+    cx.apply(claim("k", 1, "e1"));
+    cx.apply(Command::EntryDown {
         entry: "e1".into(),
         process: 7,
     });
-    assert_eq!(
-        bench.apply(claim("k", 1, "e2")),
-        Reply::Key(KeyState::Unknown)
-    );
+    assert_eq!(cx.apply(claim("k", 1, "e2")), Reply::Key(KeyState::Unknown));
 }
 
 #[test]
 fn an_old_key_is_refused_and_not_run_again() {
-    // A client resends a day later. Its answer is no longer kept; running it again would do the
-    // work twice, so it is refused by name.
-    let mut bench = Bench::new();
-    bench.apply(claim("k", 1, "e1"));
-    bench.apply(settle("k", "e1", KeyState::Unknown));
-    bench.now += DAY + Duration::from_secs(1);
-    let Reply::Refused(refusal) = bench.apply(claim("k", 1, "e1")) else {
+    // A client resends a request after a day, when its answer is no longer kept. Running it again
+    // would do the work twice, so it is refused as expired.
+    let mut cx = Fixture::new();
+    cx.apply(claim("k", 1, "e1"));
+    cx.apply(settle("k", "e1", KeyState::Unknown));
+    cx.now += DAY + Duration::from_secs(1);
+    let Reply::Refused(refusal) = cx.apply(claim("k", 1, "e1")) else {
         panic!("ran again")
     };
     assert_eq!(refusal.kind, RefusalKind::Expired);
@@ -428,82 +420,82 @@
 
 #[test]
 fn a_minion_has_one_owner_at_a_time() {
-    // Its owner is lost: another entry host takes over under a higher epoch and is told that
-    // requests of the old owner may still be in work. An owner that is asked to release keeps
-    // the minion until it says it has finished.
-    let mut bench = Bench::new();
-    bench.apply(Command::EntryUp(hello("e1")));
-    bench.apply(minion("m"));
-    let owner = |bench: &Bench| {
-        let m = &bench.cell.minions["m"];
+    // When the owner is lost, another entry host becomes the owner under a higher epoch, with
+    // `lapsed` set because requests of the old owner may still be in progress. An owner that is
+    // asked to release a minion keeps it until it reports that its requests have finished.
+    let mut cx = Fixture::new();
+    cx.apply(Command::EntryUp(hello("e1")));
+    cx.apply(minion("m"));
+    let owner = |cx: &Fixture| {
+        let m = &cx.cell.minions["m"];
         (m.owner.as_deref().map(str::to_owned), m.epoch, m.lapsed)
     };
-    assert_eq!(owner(&bench), (Some("e1".to_owned()), 1, false));
-    bench.apply(Command::EntryUp(hello("e2")));
-    bench.apply(Command::EntryDown {
+    assert_eq!(owner(&cx), (Some("e1".to_owned()), 1, false));
+    cx.apply(Command::EntryUp(hello("e2")));
+    cx.apply(Command::EntryDown {
         entry: "e1".into(),
         process: 7,
     });
-    assert_eq!(owner(&bench), (Some("e2".to_owned()), 2, true));
-    bench.apply(Command::EntryUp(hello("e1")));
-    bench.apply(Command::MoveMinions(vec!["m".into()]));
-    assert_eq!(owner(&bench).0.as_deref(), Some("e2"));
-    bench.apply(Command::EntryLeaving("e2".into()));
+    assert_eq!(owner(&cx), (Some("e2".to_owned()), 2, true));
+    cx.apply(Command::EntryUp(hello("e1")));
+    cx.apply(Command::MoveMinions(vec!["m".into()]));
+    assert_eq!(owner(&cx).0.as_deref(), Some("e2"));
+    cx.apply(Command::EntryLeaving("e2".into()));
     let minions = vec!["m".into()];
-    bench.apply(Command::ReleaseMinions {
+    cx.apply(Command::ReleaseMinions {
         entry: "e2".into(),
         minions,
     });
-    assert_eq!(owner(&bench), (Some("e1".to_owned()), 3, false));
+    assert_eq!(owner(&cx), (Some("e1".to_owned()), 3, false));
 }
 
 #[test]
 fn a_silent_minion_stays_with_its_owner_until_released() {
-    // A minion's announcement lapses while its owner may have requests there, and it announces
-    // itself again, nearer to another entry host. Its owner keeps it, under the same number of
-    // ownership. One that stays silent is forgotten once the owner has let go.
-    let mut bench = Bench::new();
-    bench.apply(Command::EntryUp(hello("e1")));
-    bench.apply(minion("m"));
-    bench.apply(minion("o"));
-    bench.apply(Command::EntryUp(hello("e2")));
+    // A minion's announcement expires while its owner may have requests there, and the minion
+    // announces itself again. The owner keeps it under the same epoch. A minion that stays silent
+    // is removed once the owner has released it.
+    let mut cx = Fixture::new();
+    cx.apply(Command::EntryUp(hello("e1")));
+    cx.apply(minion("m"));
+    cx.apply(minion("o"));
+    cx.apply(Command::EntryUp(hello("e2")));
     let down = |minion: &str| Command::MinionDown {
         minion: minion.into(),
         process: 1,
     };
-    bench.apply(down("m"));
-    let told = bench.cell.feed().minions["m"].clone();
-    assert!(told.leaving && told.release, "{told:?}");
-    bench.apply(minion("m"));
-    let told = bench.cell.feed().minions["m"].clone();
-    assert_eq!((told.owner.as_deref(), told.epoch), (Some("e1"), 1));
-    assert!(!told.leaving && !told.release, "{told:?}");
-    bench.apply(down("m"));
-    bench.apply(Command::ReleaseMinions {
+    cx.apply(down("m"));
+    let fed = cx.cell.feed().minions["m"].clone();
+    assert!(fed.leaving && fed.release, "{fed:?}");
+    cx.apply(minion("m"));
+    let fed = cx.cell.feed().minions["m"].clone();
+    assert_eq!((fed.owner.as_deref(), fed.epoch), (Some("e1"), 1));
+    assert!(!fed.leaving && !fed.release, "{fed:?}");
+    cx.apply(down("m"));
+    cx.apply(Command::ReleaseMinions {
         entry: "e1".into(),
         minions: vec!["m".into()],
     });
-    assert!(!bench.cell.minions.contains_key("m"));
+    assert!(!cx.cell.minions.contains_key("m"));
 }
 
 #[test]
 fn a_snapshot_holds_the_whole_state() {
-    let mut bench = Bench::new();
-    bench.submit("a", "plan");
-    bench.start(0, 0);
-    bench.apply(claim("k", 1, "e1"));
-    bench.apply(minion("m"));
-    let mut again = Cell::from_bytes(&bench.cell.to_bytes().unwrap()).unwrap();
+    let mut cx = Fixture::new();
+    cx.submit("a", "plan");
+    cx.start(0, 0);
+    cx.apply(claim("k", 1, "e1"));
+    cx.apply(minion("m"));
+    let mut restored = Cell::from_bytes(&cx.cell.to_bytes().unwrap()).unwrap();
     let command = Command::WorkerDown {
         worker: 0,
         process: 1,
         never_sent: vec![],
     };
     assert_eq!(
-        again.apply(bench.now, command.clone()),
-        bench.cell.apply(bench.now, command)
+        restored.apply(cx.now, command.clone()),
+        cx.cell.apply(cx.now, command)
     );
-    assert_eq!(again.to_bytes().unwrap(), bench.cell.to_bytes().unwrap());
+    assert_eq!(restored.to_bytes().unwrap(), cx.cell.to_bytes().unwrap());
 }
 
 #[test]
