--- a/src/control/api.rs
+++ b/src/control/api.rs
@@ -1,4 +1,4 @@
-//! The operators' interface: the document, jobs and tables, as JSON and YAML over HTTP.
+//! The operators' HTTP API: the document as YAML, jobs and tables as JSON.
 
 use std::sync::Arc;
 
@@ -16,27 +16,27 @@
 use crate::state::{ReplicaRow, Reply};
 use crate::wire::{Answer, HttpAnswer, HttpCall, JobSubmission, Refusal, RefusalKind};
 
-/// Largest document in bytes.
-pub const MAX_DOCUMENT: usize = 1024 * 1024;
+/// Maximum size of a document in bytes.
+pub const MAX_DOCUMENT_BYTES: usize = 1024 * 1024;
 
-/// Jobs listed at most.
-const JOBS_LISTED: usize = 500;
+/// Maximum number of jobs in the table of jobs.
+const MAX_JOBS_LISTED: usize = 500;
 
-/// Header that names the operator where sign-in is off.
+/// Header with the operator's name for the audit log, used where sign-in is off.
 const OPERATOR_HEADER: &str = "yuccahold-operator";
 
-/// Header that states what became of a request.
+/// Header with the outcome of a request, such as `not-run` or `unknown`.
 const OUTCOME_HEADER: &str = "yuccahold-outcome";
 
-/// An answer on its way, early when something fails.
-type Answered = Result<HttpAnswer, HttpAnswer>;
+/// The answer to a request; `Err` holds an error answer, so that `?` returns it early.
+type ApiResult = Result<HttpAnswer, HttpAnswer>;
 
 impl<G, P> Calls<G, P>
 where
     P: Placer + Send + 'static,
     G: Group<Machine<P>>,
 {
-    /// Answers one request of an operator on the leader.
+    /// Answers one operator's request. Only the leader can; other replicas return an error.
     pub async fn operate(&self, call: HttpCall) -> HttpAnswer {
         let (path, query) = call.path.split_once('?').unwrap_or((&call.path, ""));
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -57,16 +57,16 @@
             ("GET", ["v1", "replicas"]) => Ok(json_answer(200, &self.replicas())),
             ("GET", ["v1", "burn"]) => self.table(|m, now| m.burn_report(now)).await,
             ("GET", ["v1", "audit"]) => self.table(|m, _| m.cell().audit_rows()).await,
-            _ => Ok(problem(404, "there is nothing under this path")),
+            _ => Ok(error_answer(404, "there is nothing under this path")),
         };
-        answered.unwrap_or_else(|failed| failed)
+        answered.unwrap_or_else(|error| error)
     }
 
-    async fn get_document(&self, query: &str) -> Answered {
+    async fn get_document(&self, query: &str) -> ApiResult {
         let wanted = revision_in(query)?;
-        let found = self.checked(move |m, _| m.cell().document_record(wanted).cloned());
+        let found = self.read_or_error(move |m, _| m.cell().document_record(wanted).cloned());
         let Some(record) = found.await? else {
-            return Ok(problem(
+            return Ok(error_answer(
                 404,
                 "there is no such revision, or it is no longer kept",
             ));
@@ -80,40 +80,38 @@
         Ok(answer)
     }
 
-    async fn put_document(&self, call: &HttpCall) -> Answered {
-        if call.body.len() > MAX_DOCUMENT {
-            let message = format!("a document has at most {MAX_DOCUMENT} bytes");
-            return Err(problem(413, &message));
+    async fn put_document(&self, call: &HttpCall) -> ApiResult {
+        if call.body.len() > MAX_DOCUMENT_BYTES {
+            let message = format!("a document has at most {MAX_DOCUMENT_BYTES} bytes");
+            return Err(error_answer(413, &message));
         }
         let text = std::str::from_utf8(&call.body)
-            .map_err(|_| problem(400, "the document is not UTF-8 text"))?;
+            .map_err(|_| error_answer(400, "the document is not UTF-8 text"))?;
         let base = base_revision(call)?;
         let document = document::parse("document", text)
-            .map_err(|problems| problem(422, &problems.to_text()))?;
+            .map_err(|problems| error_answer(422, &problems.to_text()))?;
         let command = Command::PutDocument {
             base,
             document: Arc::new(document),
             who: operator(call),
             key: header_of(call, "idempotency-key").map(CompactString::from),
         };
-        match self.propose(command).await.map_err(failed)? {
+        match self.propose(command).await.map_err(answer_from_error)? {
             Reply::Revision(revision) => {
                 let mut answer = json_answer(200, &json!({ "revision": revision }));
                 answer.headers.push(header("etag", &etag(revision)));
                 Ok(answer)
             }
-            Reply::Stale(current) => self.stale(base, current).await,
-            Reply::Refused(refusal) => Err(refused(&refusal)),
-            _ => Err(problem(
-                500,
-                "the state machine gave an answer of another kind",
-            )),
+            Reply::Stale(current) => self.conflict_answer(base, current).await,
+            Reply::Refused(refusal) => Err(answer_from_refusal(&refusal)),
+            _ => Err(error_answer(500, "unexpected reply from the state machine")),
         }
     }
 
-    /// Shows the other operator's change to the one who came second.
-    async fn stale(&self, base: Revision, current: Revision) -> Answered {
-        let records = self.checked(move |m, _| {
+    /// Answers 412 with the text of both revisions, so that an operator whose change came second
+    /// can merge it into the document in force.
+    async fn conflict_answer(&self, base: Revision, current: Revision) -> ApiResult {
+        let records = self.read_or_error(move |m, _| {
             let cell = m.cell();
             (
                 cell.document_record(Some(base)).cloned(),
@@ -135,7 +133,7 @@
         Err(answer)
     }
 
-    async fn history(&self) -> Answered {
+    async fn history(&self) -> ApiResult {
         self.table(|m, _| m.cell().revision_rows()).await
     }
 
@@ -154,13 +152,13 @@
         voters.chain(learners).collect()
     }
 
-    async fn jobs(&self) -> Answered {
-        self.table(|m, now| m.job_views(now, JOBS_LISTED)).await
+    async fn jobs(&self) -> ApiResult {
+        self.table(|m, now| m.job_views(now, MAX_JOBS_LISTED)).await
     }
 
-    async fn submit_job(&self, call: &HttpCall) -> Answered {
+    async fn submit_job(&self, call: &HttpCall) -> ApiResult {
         let mut submission: JobSubmission = serde_json::from_slice(&call.body)
-            .map_err(|e| problem(400, &format!("the job is not as expected: {e}")))?;
+            .map_err(|e| error_answer(400, &format!("invalid job: {e}")))?;
         let key = header_of(call, "idempotency-key").map(CompactString::from);
         submission.key = submission.key.or(key);
         job_answer(self.submit(submission, operator(call)).await)
@@ -169,47 +167,47 @@
     async fn table<T: Serialize + Send + 'static>(
         &self,
         read: impl FnOnce(&mut Machine<P>, std::time::Duration) -> T + Send + 'static,
-    ) -> Answered {
-        let rows = self.checked(read).await?;
+    ) -> ApiResult {
+        let rows = self.read_or_error(read).await?;
         Ok(json_answer(200, &rows))
     }
 
-    async fn checked<R: Send + 'static>(
+    async fn read_or_error<R: Send + 'static>(
         &self,
         read: impl FnOnce(&mut Machine<P>, std::time::Duration) -> R + Send + 'static,
     ) -> Result<R, HttpAnswer> {
-        self.read(read).await.map_err(failed)
+        self.read(read).await.map_err(answer_from_error)
     }
 }
 
-fn job_answer(answered: Result<Answer, Answer>) -> Answered {
+fn job_answer(answered: Result<Answer, Answer>) -> ApiResult {
     match answered {
         Ok(Answer::Job(view)) => Ok(json_answer(200, &view)),
-        Ok(answer) | Err(answer) => Err(failed(answer)),
+        Ok(answer) | Err(answer) => Err(answer_from_error(answer)),
     }
 }
 
-/// The revision that a change was made from, out of `If-Match`.
+/// The revision that a change is based on, from `If-Match`; the header is required.
 fn base_revision(call: &HttpCall) -> Result<Revision, HttpAnswer> {
     let Some(value) = header_of(call, "if-match") else {
         let message = "state the revision this change was made from in If-Match; 0 for the first";
-        return Err(problem(428, message));
+        return Err(error_answer(428, message));
     };
     let number = value.trim().trim_start_matches("W/").trim_matches('"');
     number
         .parse()
-        .map_err(|_| problem(400, "If-Match is no revision number"))
+        .map_err(|_| error_answer(400, "If-Match is not a revision number"))
 }
 
 fn revision_in(query: &str) -> Result<Option<Revision>, HttpAnswer> {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-    let mut wanted = pairs.filter(|(key, _)| *key == "revision").map(|(_, v)| v);
-    match wanted.next_back() {
+    let mut values = pairs.filter(|(key, _)| *key == "revision").map(|(_, v)| v);
+    match values.next_back() {
         None => Ok(None),
         Some(value) => value
             .parse()
             .map(Some)
-            .map_err(|_| problem(400, "the revision is no number")),
+            .map_err(|_| error_answer(400, "the revision is not a number")),
     }
 }
 
@@ -239,14 +237,14 @@
     }
 }
 
-/// An error of ours; whatever its status, nothing was changed.
-pub(super) fn problem(status: u16, message: &str) -> HttpAnswer {
+/// An error answer to a request that changed nothing.
+pub(super) fn error_answer(status: u16, message: &str) -> HttpAnswer {
     let mut answer = json_answer(status, &json!({ "error": message }));
     answer.headers.push(header(OUTCOME_HEADER, "not-run"));
     answer
 }
 
-fn refused(refusal: &Refusal) -> HttpAnswer {
+fn answer_from_refusal(refusal: &Refusal) -> HttpAnswer {
     let status = match refusal.kind {
         RefusalKind::NotFound => 404,
         RefusalKind::Invalid => 422,
@@ -254,7 +252,7 @@
         RefusalKind::Expired => 410,
         RefusalKind::Overloaded => 503,
     };
-    let mut answer = problem(status, &refusal.message);
+    let mut answer = error_answer(status, &refusal.message);
     if let Some(after) = refusal.retry_after {
         let seconds = after.as_secs().max(1).to_string();
         answer.headers.push(header("retry-after", &seconds));
@@ -262,20 +260,21 @@
     answer
 }
 
-pub(super) fn failed(answer: Answer) -> HttpAnswer {
+pub(super) fn answer_from_error(answer: Answer) -> HttpAnswer {
     match answer {
-        Answer::Refused(refusal) => refused(&refusal),
+        Answer::Refused(refusal) => answer_from_refusal(&refusal),
         Answer::NotLeader(_) => {
-            let mut answer = problem(503, "no leader is known at the moment");
+            let mut answer = error_answer(503, "no leader is known at the moment");
             answer.headers.push(header("retry-after", "1"));
             answer
         }
         Answer::Unknown => {
-            let message = "leadership was lost on the way; send it again under the same key";
+            let message =
+                "leadership was lost during the request; send it again under the same key";
             let mut answer = json_answer(504, &json!({ "error": message }));
             answer.headers.push(header(OUTCOME_HEADER, "unknown"));
             answer
         }
-        _ => problem(500, "the state machine gave an answer of another kind"),
+        _ => error_answer(500, "unexpected reply from the state machine"),
     }
 }
--- a/src/control/burn.rs
+++ b/src/control/burn.rs
@@ -1,4 +1,4 @@
-//! Starts counted against the objectives by the leader.
+//! The leader's count of job starts against the objectives.
 
 use std::time::Duration;
 
@@ -9,28 +9,29 @@
 use crate::slo::{BurnReport, Dimensions, Event, Outcome};
 use crate::state::{Cell, JobNumber, WorkerNumber};
 
-/// Time between two hand-overs to the log. Counts of a leader that is lost in between are lost
-/// with it.
-const HAND_OVER: Duration = Duration::from_secs(10);
+/// Time between two writes of the counts to the log. If the leader is lost in between, the counts
+/// since the last write are lost.
+const FLUSH_INTERVAL: Duration = Duration::from_secs(10);
 
 impl<P: Placer + Send + 'static> Machine<P> {
-    pub(super) fn hand_over_tally(&mut self, now: Timestamp) -> Option<Command> {
-        let lead = self.lead.as_mut()?;
-        if now < lead.tallied + HAND_OVER {
+    pub(super) fn flush_tally(&mut self, now: Timestamp) -> Option<Command> {
+        let leader = self.leader.as_mut()?;
+        if now < leader.tally_flushed_at + FLUSH_INTERVAL {
             return None;
         }
-        lead.tallied = now;
-        let delta = lead.tally.take();
+        leader.tally_flushed_at = now;
+        let delta = leader.tally.take();
         (!delta.is_empty()).then_some(Command::Burn(delta))
     }
 
-    /// The state of every objective.
+    /// Error budget and burn rates of every objective.
     pub fn burn_report(&self, now: Timestamp) -> BurnReport {
         self.cell.burn.report(self.cell_time(now))
     }
 }
 
-/// The event of a task's first start.
+/// The objectives' event for the first start of a task: how long it waited since its job was
+/// accepted.
 pub(super) fn start_event(cell: &Cell, job: JobNumber, worker: WorkerNumber) -> Option<Event> {
     let job = cell.jobs.get(&job)?;
     let worker = &cell.workers.get(&worker)?.spec;
--- a/src/control/calls.rs
+++ b/src/control/calls.rs
@@ -1,4 +1,4 @@
-//! Answers to the calls of entry hosts.
+//! Answers the calls of entry hosts through the replication group.
 
 use std::marker::PhantomData;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use super::entries::RenewStep;
 use super::group::Group;
 use super::machine::{Command, Machine};
-use super::polls::{Patience, PollStep};
+use super::polls::{PollMode, PollStep};
 use crate::ids::JobName;
 use crate::placement::Placer;
 use crate::replication::{ProposeError, ReadError};
@@ -19,22 +19,23 @@
     MinionAnnouncement, Refusal, RefusalKind, WorkerPoll,
 };
 
-/// Longest time for which a poll's answer is held back, whatever the worker asks for.
+/// Maximum time that a poll may wait for an answer, whatever the worker requests.
 const MAX_POLL_WAIT: Duration = Duration::from_secs(20);
 
-/// Longest time for a command to be agreed; an election takes a small part of it.
+/// Maximum time for a command to be committed; long enough to outlast an election.
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Rounds of proposals one call may need: join, report, leave, and spare.
+/// Maximum rounds of proposals for one call. Joining, reporting and leaving take one each; the
+/// rest is spare.
 const MAX_ROUNDS: usize = 8;
 
-/// When a caller should come back after a refusal for overload or a held lease.
-const COME_BACK: Duration = Duration::from_millis(500);
+/// Time after which a caller should retry when refused for overload or a held lease.
+const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Name in the audit log for callers at an entry host, who do not sign in.
+/// Name in the audit log for callers of entry hosts, who don't sign in.
 const CALLER: &str = "caller";
 
-/// Answers calls through the group.
+/// Answers calls by proposing commands to a replication group and reading its state.
 pub struct Calls<G, P> {
     pub(super) group: G,
     placer: PhantomData<fn() -> P>,
@@ -47,7 +48,7 @@
 }
 
 impl<G, P> Calls<G, P> {
-    /// Answers calls through this group.
+    /// Creates the answering side for this group.
     pub const fn new(group: G) -> Self {
         Self {
             group,
@@ -61,7 +62,8 @@
     P: Placer + Send + 'static,
     G: Group<Machine<P>>,
 {
-    /// Answers one call. `hello` is the entry host's introduction on this connection.
+    /// Answers one call. `hello` is the first message of the entry host on this connection;
+    /// renewals require it.
     pub async fn answer(&self, hello: Option<&EntryHello>, call: Call) -> Answer {
         let answered = match call {
             Call::Renew(report) => match hello {
@@ -72,35 +74,35 @@
                 )),
             },
             Call::AnnounceMinion(minion) => self.announce(minion).await,
-            Call::LeaveMinion(minion) => self.agree(Command::LeaveMinion(minion)).await,
+            Call::LeaveMinion(minion) => self.execute(Command::LeaveMinion(minion)).await,
             Call::PollWorker(poll) => self.poll(poll).await,
             Call::SubmitJob(submission) => self.submit(submission, CALLER.into()).await,
             Call::QueryJob(job) => self.query(job).await,
             Call::CancelJob(job) => self.cancel(job, CALLER.into()).await,
             Call::ClaimKey(claim) => self.claim(claim).await,
             Call::SettleKey(settlement) => self.settle(settlement).await,
-            Call::Burn(delta) => self.agree(Command::Burn(delta)).await,
+            Call::Burn(delta) => self.execute(Command::Burn(delta)).await,
             Call::Http(_) => Ok(refusal(
                 RefusalKind::Invalid,
                 "operators' requests are answered by the daemon itself",
             )),
         };
-        answered.unwrap_or_else(|failed| failed)
+        answered.unwrap_or_else(|error| error)
     }
 
     async fn poll(&self, poll: WorkerPoll) -> Result<Answer, Answer> {
         let deadline = Instant::now() + poll.wait.min(MAX_POLL_WAIT);
         let mut rounds = 0;
         loop {
-            let patience = match Instant::now() < deadline {
-                true => Patience::Hold,
-                false => Patience::AnswerNow,
+            let mode = match Instant::now() < deadline {
+                true => PollMode::Hold,
+                false => PollMode::AnswerNow,
             };
-            let asked = poll.clone();
-            let step = self.read(move |m, now| m.poll_worker(now, &asked, patience));
+            let req = poll.clone();
+            let step = self.read(move |m, now| m.poll_worker(now, &req, mode));
             match step.await? {
                 PollStep::Answer(tasks) => return Ok(Answer::Tasks(tasks)),
-                PollStep::Propose(commands) => self.round(commands, &mut rounds).await?,
+                PollStep::Propose(commands) => self.propose_round(commands, &mut rounds).await?,
                 PollStep::Hold(mut changed) => {
                     let _ = tokio::time::timeout_at(deadline, changed.changed()).await;
                 }
@@ -109,37 +111,42 @@
     }
 
     async fn renew(&self, hello: EntryHello, report: EntryReport) -> Result<Answer, Answer> {
-        self.renewal(move |m, now| m.renew_entry(now, &hello, &report))
+        self.grant_lease(move |m, now| m.renew_entry(now, &hello, &report))
             .await
     }
 
     async fn announce(&self, minion: MinionAnnouncement) -> Result<Answer, Answer> {
-        self.renewal(move |m, now| m.announce(now, &minion)).await
+        self.grant_lease(move |m, now| m.announce(now, &minion))
+            .await
     }
 
-    async fn renewal(
+    async fn grant_lease(
         &self,
-        look: impl Fn(&mut Machine<P>, Duration) -> RenewStep + Clone + Send + 'static,
+        check: impl Fn(&mut Machine<P>, Duration) -> RenewStep + Clone + Send + 'static,
     ) -> Result<Answer, Answer> {
         let mut rounds = 0;
         loop {
-            let look = look.clone();
-            match self.read(move |m, now| look(m, now)).await? {
+            let check = check.clone();
+            match self.read(move |m, now| check(m, now)).await? {
                 RenewStep::Granted(ttl) => return Ok(Answer::Lease(ttl)),
-                RenewStep::Propose(commands) => self.round(commands, &mut rounds).await?,
+                RenewStep::Propose(commands) => self.propose_round(commands, &mut rounds).await?,
                 RenewStep::Held => {
                     let message = "another process of this name may still hold the lease";
-                    return Ok(come_back(RefusalKind::Conflict, message));
+                    return Ok(refuse_with_retry(RefusalKind::Conflict, message));
                 }
             }
         }
     }
 
-    async fn round(&self, commands: Vec<Command>, rounds: &mut usize) -> Result<(), Answer> {
+    async fn propose_round(
+        &self,
+        commands: Vec<Command>,
+        rounds: &mut usize,
+    ) -> Result<(), Answer> {
         *rounds += 1;
         if *rounds > MAX_ROUNDS {
-            let message = "the call did not settle; ask again";
-            return Err(come_back(RefusalKind::Overloaded, message));
+            let message = "the call did not complete; retry it";
+            return Err(refuse_with_retry(RefusalKind::Overloaded, message));
         }
         for command in commands {
             self.propose(command).await?;
@@ -152,11 +159,11 @@
         submission: JobSubmission,
         who: CompactString,
     ) -> Result<Answer, Answer> {
-        self.agree(Command::SubmitJob { submission, who }).await
+        self.execute(Command::SubmitJob { submission, who }).await
     }
 
     pub(super) async fn cancel(&self, job: JobName, who: CompactString) -> Result<Answer, Answer> {
-        self.agree(Command::CancelJob { job, who }).await
+        self.execute(Command::CancelJob { job, who }).await
     }
 
     pub(super) async fn query(&self, job: JobName) -> Result<Answer, Answer> {
@@ -169,14 +176,14 @@
     }
 
     async fn claim(&self, claim: KeyClaim) -> Result<Answer, Answer> {
-        self.agree(Command::ClaimKey(claim)).await
+        self.execute(Command::ClaimKey(claim)).await
     }
 
     async fn settle(&self, settlement: KeySettlement) -> Result<Answer, Answer> {
-        self.agree(Command::SettleKey(settlement)).await
+        self.execute(Command::SettleKey(settlement)).await
     }
 
-    async fn agree(&self, command: Command) -> Result<Answer, Answer> {
+    async fn execute(&self, command: Command) -> Result<Answer, Answer> {
         let reply = self.propose(command).await?;
         Ok(match reply {
             Reply::Ok | Reply::Revision(_) | Reply::Stale(_) => Answer::Ok,
@@ -190,15 +197,18 @@
         let bytes = command
             .to_bytes()
             .map_err(|e| refusal(RefusalKind::Invalid, e.to_string()))?;
-        let agreed = tokio::time::timeout(PROPOSE_TIMEOUT, self.group.propose(bytes)).await;
-        // A proposal that waits without end keeps its caller waiting without end. The command
-        // may still be agreed, so its outcome is unknown and the key tells it later.
-        let Ok(agreed) = agreed else {
+        let proposed = tokio::time::timeout(PROPOSE_TIMEOUT, self.group.propose(bytes)).await;
+        // Without the timeout a proposal that is never committed would block its caller forever.
+        // The command may still be committed later, so the outcome is unknown; a resend under
+        // the same key returns it.
+        let Ok(proposed) = proposed else {
             return Err(Answer::Unknown);
         };
-        agreed.map_err(|e| match e {
+        proposed.map_err(|e| match e {
             ProposeError::NotLeader { leader } => Answer::NotLeader(leader),
-            ProposeError::Overloaded(message) => come_back(RefusalKind::Overloaded, message),
+            ProposeError::Overloaded(message) => {
+                refuse_with_retry(RefusalKind::Overloaded, message)
+            }
             ProposeError::Unknown => Answer::Unknown,
             ProposeError::Stopping => Answer::NotLeader(None),
         })
@@ -223,10 +233,10 @@
     })
 }
 
-fn come_back(kind: RefusalKind, message: impl Into<String>) -> Answer {
+fn refuse_with_retry(kind: RefusalKind, message: impl Into<String>) -> Answer {
     Answer::Refused(Refusal {
         kind,
         message: message.into(),
-        retry_after: Some(COME_BACK),
+        retry_after: Some(RETRY_AFTER),
     })
 }
--- a/src/control/daemon.rs
+++ b/src/control/daemon.rs
@@ -24,14 +24,14 @@
 use crate::telemetry::install_metrics;
 use crate::wire::CellKeys;
 
-/// The machine that the daemon replicates.
+/// The state machine that the daemon replicates.
 pub type CellMachine = Machine<Scheduler>;
 
 /// A running control daemon.
 pub struct ControlHandle {
-    /// Where operators are answered.
+    /// Bound address of the HTTP server for operators.
     pub http: SocketAddr,
-    /// Where entry hosts send calls.
+    /// Bound address for the connections of entry hosts.
     pub calls: SocketAddr,
     replica: ReplicaHandle<CellMachine>,
     stopping: watch::Sender<bool>,
@@ -59,7 +59,10 @@
     }
 }
 
-/// Opens the data folder, joins or forms the group and serves entry hosts and operators.
+/// Starts the daemon: opens the data folder, joins or forms the replication group, and serves
+/// entry hosts and operators.
+///
+/// Returns once both addresses are bound, whether or not the group has a leader.
 pub async fn start(
     cfg: ControlSettings,
     keys: CellKeys,
@@ -98,8 +101,8 @@
     })
 }
 
-/// Seed of the placer's tie breaks; the decisions are agreed through the log, so replicas need
-/// not share it.
+/// Seed for the placer's tie breaks. Decisions are replicated through the log, so replicas don't
+/// have to use the same seed.
 const PLACER_SEED: u64 = 1;
 
 fn replica_config(
@@ -151,12 +154,13 @@
 }
 
 impl ControlHandle {
-    /// This replica's state and its changes.
+    /// Receiver of this replica's status, updated on each change.
     pub fn status(&self) -> watch::Receiver<ReplicaStatus> {
         self.replica.status()
     }
 
-    /// The planned stop: hands leadership over, finishes requests in flight, closes the files.
+    /// Stops the daemon: hands over leadership, lets requests in flight finish for up to
+    /// `HTTP_GRACE`, and closes the log's files.
     pub async fn stop(self) {
         self.replica.hand_over().await;
         let _ = self.stopping.send(true);
@@ -166,5 +170,5 @@
     }
 }
 
-/// Longest time for operators' requests in flight to end at a planned stop.
+/// Maximum time to wait for operators' requests in flight when stopping.
 const HTTP_GRACE: std::time::Duration = std::time::Duration::from_secs(5);
--- a/src/control/entries.rs
+++ b/src/control/entries.rs
@@ -1,4 +1,4 @@
-//! An entry host's lease and what it reports with it; announcements of minions.
+//! Lease renewals and reports of entry hosts, and announcements of minions.
 
 use std::time::Duration;
 
@@ -7,43 +7,44 @@
 use crate::placement::Placer;
 use crate::wire::{EntryHello, EntryReport, MinionAnnouncement};
 
-/// Shortest and longest time for which an announcement of a minion may hold.
+/// Minimum and maximum validity of a minion's announcement.
 const ANNOUNCEMENT_TTL: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(60));
 
-/// What comes next for a renewal or an announcement.
+/// Next step for a renewal or an announcement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RenewStep {
-    /// These commands must be agreed first; then it is looked at again.
+    /// These commands must be committed first; then the renewal is checked again.
     Propose(Vec<Command>),
-    /// Granted for this long, counted by the holder from when it asked.
+    /// The lease is granted for this long, which the holder counts from the time of its request.
     Granted(Duration),
-    /// Another process of that name may still hold the lease; ask again.
+    /// Another process of that name may still hold the lease; retry later.
     Held,
 }
 
 impl<P: Placer + Send + 'static> Machine<P> {
-    /// Looks at an entry host's renewal at `now`, a monotonic time at which leadership was
-    /// confirmed after the renewal arrived.
+    /// Handles an entry host's renewal. `now` is a monotonic time at which leadership was confirmed
+    /// after the renewal arrived.
     pub fn renew_entry(
         &mut self,
         now: Timestamp,
         hello: &EntryHello,
         report: &EntryReport,
     ) -> RenewStep {
-        let Some(lead) = &mut self.lead else {
+        let Some(leader) = &mut self.leader else {
             return RenewStep::Held;
         };
         let known = self.cell.entries.get(&hello.entry);
         let Some(record) = known.filter(|entry| entry.process == hello.process) else {
             return self.entry_joins(hello, report);
         };
-        if !lead
+        if !leader
             .entries
             .renew(&hello.entry, hello.process, now, ENTRY_LEASE)
         {
             return RenewStep::Held;
         }
-        lead.in_force
+        leader
+            .in_force
             .insert(hello.entry.clone(), (report.in_force, now));
         let leaving = record.leaving;
         let commands = self.entry_commands(hello, report, leaving);
@@ -53,13 +54,13 @@
         }
     }
 
-    /// An earlier process of the same name must have lost its lease before a new one joins:
-    /// both would use the same minions.
+    /// Lets a new process join only after an earlier process of the same name has lost its lease,
+    /// since both would send requests to the same minions.
     fn entry_joins(&self, hello: &EntryHello, report: &EntryReport) -> RenewStep {
         let held = self
-            .lead
+            .leader
             .as_ref()
-            .is_some_and(|lead| lead.process_of_entry(&hello.entry).is_some());
+            .is_some_and(|leader| leader.process_of_entry(&hello.entry).is_some());
         if self.cell.entries.contains_key(&hello.entry) || held || report.leaving {
             return RenewStep::Held;
         }
@@ -89,8 +90,8 @@
             commands.push(Command::EntryLeaving(entry.clone()));
         }
         if commands.is_empty() && report.leaving && self.cell.owned_by(entry) == 0 {
-            if let Some(lead) = &mut self.lead {
-                lead.entries.give_up(entry, hello.process);
+            if let Some(leader) = &mut self.leader {
+                leader.entries.give_up(entry, hello.process);
             }
             commands.push(Command::EntryDown {
                 entry: entry.clone(),
@@ -100,36 +101,38 @@
         commands
     }
 
-    /// Looks at a minion's announcement at a time of confirmed leadership.
+    /// Handles a minion's announcement. `now` is a monotonic time at which leadership was
+    /// confirmed after the announcement arrived.
     pub fn announce(&mut self, now: Timestamp, minion: &MinionAnnouncement) -> RenewStep {
-        let minion = clamped(minion);
+        let minion = clamp_ttl(minion);
         let ttl = minion.ttl;
         let known = self.cell.minions.get(&minion.id);
         if known.is_none_or(|record| record.announced != minion) {
-            // The replacement of a process is agreed at once: its owner, unlike a worker's
-            // lease holder, is an entry host, which hears of it in order.
-            if let Some(lead) = &mut self.lead {
-                lead.minions.forget(&minion.id);
+            // Unlike a worker's, a minion's process may be replaced without waiting for a lease:
+            // only the owning entry host sends it requests, and it gets the change in its feed.
+            if let Some(leader) = &mut self.leader {
+                leader.minions.forget(&minion.id);
             }
             return RenewStep::Propose(vec![Command::AnnounceMinion(minion)]);
         }
-        let Some(lead) = &mut self.lead else {
+        let Some(leader) = &mut self.leader else {
             return RenewStep::Held;
         };
-        match lead.minions.renew(&minion.id, minion.process, now, ttl) {
+        match leader.minions.renew(&minion.id, minion.process, now, ttl) {
             true => RenewStep::Granted(ttl),
             false => RenewStep::Held,
         }
     }
 
-    /// The revision each entry host says it has in force, and how long ago it said so.
+    /// The document revision that each entry host reported to have in force, and the time since
+    /// that report; `None` if it has not reported to this leader.
     pub fn revisions_in_force(
         &self,
         now: Timestamp,
     ) -> Vec<(EntryId, Option<(Revision, Duration)>)> {
-        let lead = self.lead.as_ref();
+        let leader = self.leader.as_ref();
         let entries = self.cell.entries.keys().map(|id| {
-            let report = lead.and_then(|lead| lead.in_force.get(id));
+            let report = leader.and_then(|leader| leader.in_force.get(id));
             let report = report.map(|(revision, at)| (*revision, now.saturating_sub(*at)));
             (id.clone(), report)
         });
@@ -137,7 +140,7 @@
     }
 }
 
-fn clamped(minion: &MinionAnnouncement) -> MinionAnnouncement {
+fn clamp_ttl(minion: &MinionAnnouncement) -> MinionAnnouncement {
     let (shortest, longest) = ANNOUNCEMENT_TTL;
     let ttl = minion.ttl.clamp(shortest, longest);
     MinionAnnouncement {
--- a/src/control/http.rs
+++ b/src/control/http.rs
@@ -1,5 +1,5 @@
-//! The HTTP server of the control daemon: health, metrics, and the operators' interface, which
-//! the leader answers and every other replica passes on.
+//! The control daemon's HTTP server: health checks, metrics and the operators' API. The leader
+//! answers the API; other replicas forward requests to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use warp::path::FullPath;
 use warp::{Filter, Rejection};
 
-use super::api::{MAX_DOCUMENT, failed, problem};
+use super::api::{MAX_DOCUMENT_BYTES, answer_from_error, error_answer};
 use super::group::Group;
 use super::link::{Link, forward};
 use super::machine::Machine;
@@ -22,16 +22,16 @@
 use crate::telemetry::MetricsPage;
 use crate::wire::{Answer, HttpAnswer, HttpCall};
 
-/// Marks a request that another replica passed on, so that it is not passed on again.
+/// Marks a forwarded request, so that it isn't forwarded a second time.
 const FORWARDED_HEADER: &str = "yuccahold-forwarded";
 
-/// Longest time the leader takes over a request that was passed on.
-const OWN_TIMEOUT: Duration = Duration::from_secs(8);
+/// Maximum time for the leader to answer a forwarded request.
+const LOCAL_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Bodies beyond a document's limit are cut off with 413 by the server.
-const MAX_BODY: u64 = MAX_DOCUMENT as u64 + 64 * 1024;
+/// Maximum size of a request body in bytes; the server refuses larger ones with 413.
+const MAX_BODY_BYTES: u64 = MAX_DOCUMENT_BYTES as u64 + 64 * 1024;
 
-/// Headers that belong to one connection and are not passed on.
+/// Hop-by-hop headers, and those that the next request sets itself: not forwarded.
 const HOP_HEADERS: [&str; 6] = [
     "connection",
     "content-length",
@@ -41,7 +41,7 @@
     "upgrade",
 ];
 
-/// All routes of the daemon.
+/// One filter for all paths of the daemon; [`answer`] dispatches by path.
 pub(super) fn routes<G, P>(
     link: Arc<Link<G, P>>,
     console: Console<Arc<Link<G, P>>>,
@@ -57,7 +57,7 @@
         .and(query)
         .and(warp::header::headers_cloned())
         .and(
-            warp::body::content_length_limit(MAX_BODY)
+            warp::body::content_length_limit(MAX_BODY_BYTES)
                 .or(warp::get())
                 .unify(),
         )
@@ -97,7 +97,7 @@
     }
 }
 
-/// Time for sessions of the console.
+/// Time since the Unix epoch, for the expiry of console sessions.
 fn unix_now() -> Duration {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.unwrap_or_default()
@@ -113,7 +113,7 @@
     }
 }
 
-/// Ready means that the group has a leader which this replica follows or is.
+/// Ready if this replica is the leader and can confirm it, or if it knows a leader.
 async fn readiness<G, P>(link: &Link<G, P>) -> HttpAnswer
 where
     P: Placer + Send + 'static,
@@ -142,23 +142,27 @@
         .iter()
         .any(|(name, _)| name == FORWARDED_HEADER);
     let status = link.calls.group.status();
-    let elsewhere = (status.role != Role::Leader && !forwarded).then_some(status.leader_addr);
-    let Some(leader) = elsewhere else {
+    let forward_to = (status.role != Role::Leader && !forwarded).then_some(status.leader_addr);
+    let Some(leader) = forward_to else {
         return link.calls.operate(call).await;
     };
     let Some(leader) = leader else {
-        return failed(Answer::NotLeader(None));
+        return answer_from_error(Answer::NotLeader(None));
     };
     match forward(leader, &link.keys, call).await {
         Ok(Answer::Http(answer)) => answer,
-        Ok(answer) => failed(answer),
-        Err(e) => passed_on(&e),
+        Ok(answer) => answer_from_error(answer),
+        Err(e) => forward_failed(&e),
     }
 }
 
-fn passed_on(e: &Error) -> HttpAnswer {
-    let mut answer = problem(504, &format!("the leader could not be asked: {e}"));
-    // The leader may have carried it out before the connection failed.
+/// The answer when forwarding failed: the outcome is unknown.
+fn forward_failed(e: &Error) -> HttpAnswer {
+    let mut answer = error_answer(
+        504,
+        &format!("forwarding the request to the leader failed: {e}"),
+    );
+    // The leader may have executed the request before the connection failed.
     answer
         .headers
         .retain(|(name, _)| name != "yuccahold-outcome");
@@ -167,18 +171,19 @@
     answer
 }
 
-/// Answers a request that another daemon passed on, through this daemon's own HTTP server.
-pub(super) async fn own_answer(
+/// Answers a request that another daemon forwarded, by sending it to this daemon's own HTTP
+/// server, which checks sign-in like for any other request.
+pub(super) async fn answer_locally(
     client: &reqwest::Client,
     http: SocketAddr,
     call: HttpCall,
 ) -> Answer {
     let unknown = Answer::Unknown;
     let Ok(method) = Method::from_bytes(call.method.as_bytes()) else {
-        return Answer::Http(problem(400, "the method is none of HTTP"));
+        return Answer::Http(error_answer(400, "invalid HTTP method"));
     };
     let url = format!("http://{http}{}", call.path);
-    let mut req = client.request(method, url).timeout(OWN_TIMEOUT);
+    let mut req = client.request(method, url).timeout(LOCAL_TIMEOUT);
     for (name, value) in &call.headers {
         req = req.header(name.as_str(), value);
     }
--- a/src/control/jobs.rs
+++ b/src/control/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs with the reason they wait, which only the leader's placer knows.
+//! Job views completed with the reason for waiting, which comes from the leader's placer.
 
 use super::machine::Machine;
 use crate::ids::{JobName, Timestamp};
@@ -6,14 +6,14 @@
 use crate::wire::{JobPhase, JobView};
 
 impl<P: Placer + Send + 'static> Machine<P> {
-    /// A job as a caller sees it.
+    /// View of a job; `None` if there is no job of that name.
     pub fn job_view(&self, now: Timestamp, name: &JobName) -> Option<JobView> {
         let mut view = self.cell.view_job(name)?;
         self.explain(now, &mut view);
         Some(view)
     }
 
-    /// The latest jobs.
+    /// Views of the `limit` jobs accepted last, newest first.
     pub fn job_views(&self, now: Timestamp, limit: usize) -> Vec<JobView> {
         let mut views = self.cell.job_views(limit);
         for view in &mut views {
@@ -28,7 +28,7 @@
             return;
         }
         let time = self.cell_time(now);
-        let placer = self.lead.as_ref().map(|lead| &lead.placer);
+        let placer = self.leader.as_ref().map(|leader| &leader.placer);
         let reason = placer.and_then(|placer| placer.explain(time, &view.name));
         view.reason = reason.unwrap_or_default();
     }
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -1,4 +1,5 @@
-//! The leader's upkeep: leases that ran out, placement decisions, an even share of minions.
+//! The leader's periodic work: expired leases, placement decisions, and balancing of minions over
+//! entry hosts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,45 +13,46 @@
 use crate::state::{Cell, JobNumber, Place, PlaceJob, RunOrder, Start, WorkerNumber};
 use crate::workload::TaskRun;
 
-/// Most starts in one entry of the log.
+/// Maximum number of starts in one log entry.
 const STARTS_PER_BATCH: usize = 2_000;
 
-/// Time between two looks at the entry hosts' shares of minions.
+/// Time between two checks of the distribution of minions over entry hosts.
 const BALANCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Minions asked to move at one look; each is idle while it moves.
-const MOVES_PER_LOOK: usize = 4;
+/// Maximum number of minions moved per check; a minion is idle while it moves.
+const MAX_MOVES_PER_CHECK: usize = 4;
 
 impl<P: Placer + Send + 'static> Machine<P> {
-    pub(super) fn upkeep(&mut self, now: Timestamp) -> Vec<Command> {
-        let Some(lead) = &mut self.lead else {
+    /// The commands that are due: lease expiries, moves of minions, counts, placement decisions.
+    pub(super) fn due_commands(&mut self, now: Timestamp) -> Vec<Command> {
+        let Some(leader) = &mut self.leader else {
             return Vec::new();
         };
-        lead.offset = lead.offset.max(self.cell.clock.saturating_sub(now));
+        leader.offset = leader.offset.max(self.cell.clock.saturating_sub(now));
         let mut commands = self.expire_leases(now);
         commands.extend(self.balance(now));
-        commands.extend(self.hand_over_tally(now));
+        commands.extend(self.flush_tally(now));
         commands.extend(self.decide(now));
         commands
     }
 
     fn expire_leases(&mut self, now: Timestamp) -> Vec<Command> {
-        let Some(lead) = &mut self.lead else {
+        let Some(leader) = &mut self.leader else {
             return Vec::new();
         };
         let mut commands = Vec::new();
-        for (worker, process) in lead.workers.expire(now) {
-            let never_sent = lead.never_sent(worker);
+        for (worker, process) in leader.workers.expire(now) {
+            let never_sent = leader.never_sent(worker);
             commands.push(Command::WorkerDown {
                 worker,
                 process,
                 never_sent,
             });
         }
-        for (entry, process) in lead.entries.expire(now) {
+        for (entry, process) in leader.entries.expire(now) {
             commands.push(Command::EntryDown { entry, process });
         }
-        for (minion, process) in lead.minions.expire(now) {
+        for (minion, process) in leader.minions.expire(now) {
             commands.push(Command::MinionDown { minion, process });
         }
         commands
@@ -58,28 +60,29 @@
 
     fn decide(&mut self, now: Timestamp) -> Vec<Command> {
         let time = self.cell_time(now);
-        let Some(lead) = &mut self.lead else {
+        let Some(leader) = &mut self.leader else {
             return Vec::new();
         };
         let mut decisions = Vec::new();
-        lead.placer.decide(time, STARTS_PER_BATCH, &mut decisions);
+        leader.placer.decide(time, STARTS_PER_BATCH, &mut decisions);
         commands_from(&self.cell, decisions)
     }
 
-    /// Moves minions from the entry host with the most to the one with the fewest.
+    /// Moves minions from the entry host that owns the most towards the average.
     fn balance(&mut self, now: Timestamp) -> Option<Command> {
-        let lead = self.lead.as_mut()?;
-        if now < lead.balanced + BALANCE_INTERVAL {
+        let leader = self.leader.as_mut()?;
+        if now < leader.balanced_at + BALANCE_INTERVAL {
             return None;
         }
-        lead.balanced = now;
-        let moves = moves(&self.cell);
-        (!moves.is_empty()).then_some(Command::MoveMinions(moves))
+        leader.balanced_at = now;
+        let minions = minions_to_move(&self.cell);
+        (!minions.is_empty()).then_some(Command::MoveMinions(minions))
     }
 }
 
-/// Minions to move for an even share; none while earlier moves are under way.
-fn moves(cell: &Cell) -> Vec<MinionId> {
+/// Minions to move away from the entry host that owns the most; empty while earlier moves are in
+/// progress or when the difference is less than two.
+fn minions_to_move(cell: &Cell) -> Vec<MinionId> {
     let moving = cell
         .minions
         .values()
@@ -100,7 +103,7 @@
         .iter()
         .filter(|(_, minion)| minion.owner.as_ref() == Some(*from));
     owned
-        .take(surplus.min(MOVES_PER_LOOK))
+        .take(surplus.min(MAX_MOVES_PER_CHECK))
         .map(|(id, _)| id.clone())
         .collect()
 }
@@ -148,13 +151,13 @@
     Some(Command::Quarantine { worker, on })
 }
 
-/// Starts that share a job and what they are granted.
-type Group = (JobNumber, Option<Resources>);
+/// Key by which starts are grouped: job, and granted resources if they differ from its need.
+type StartGroup = (JobNumber, Option<Resources>);
 
-/// Starts and orders on their way into as few entries as they need.
+/// Collects starts and orders into at most two commands.
 #[derive(Default)]
 struct Batch {
-    starts: BTreeMap<Group, Vec<(TaskIndex, WorkerNumber)>>,
+    starts: BTreeMap<StartGroup, Vec<(TaskIndex, WorkerNumber)>>,
     orders: Vec<RunOrder>,
 }
 
--- a/src/control/link.rs
+++ b/src/control/link.rs
@@ -1,4 +1,4 @@
-//! Connections of entry hosts: their calls, and the feed that flows back.
+//! Connections of entry hosts: answers their calls and sends them the feed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,10 +10,10 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-use super::api::problem;
+use super::api::error_answer;
 use super::calls::Calls;
 use super::group::Group;
-use super::http::own_answer;
+use super::http::answer_locally;
 use super::machine::Machine;
 use crate::error::{Error, Result, Step};
 use crate::ids::Revision;
@@ -23,32 +23,34 @@
     FromControl, HttpCall, ToControl, accept, connect,
 };
 
-/// Longest time a stranger may take to prove the cell key.
+/// Maximum time for a new connection to prove that it holds the cell key.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Messages that may wait for a connection's writer.
+/// Capacity of a connection's send queue, in messages.
 const SEND_QUEUE: usize = 4_096;
 
-/// Calls of one connection that may be in work at once.
-const CALLS_IN_WORK: usize = 2_048;
+/// Maximum number of calls of one connection in progress; further ones are read only as these
+/// finish.
+const MAX_CALLS_IN_FLIGHT: usize = 2_048;
 
-/// Time in which changes are gathered into one feed.
-const FEED_GATHER: Duration = Duration::from_millis(10);
+/// Time for which changes are collected before they are sent as one message.
+const FEED_BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// Time between two tries to feed while this replica does not lead.
+/// Time between attempts to read the feed while this replica can't confirm leadership, and after
+/// a failed accept.
 const FEED_RETRY: Duration = Duration::from_millis(250);
 
-/// Longest time for an operator's request to travel to the leader and back.
+/// Maximum time for a request forwarded to the leader, including the answer.
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What every connection of entry hosts shares.
+/// State shared by all connections of entry hosts and by the HTTP server.
 pub(super) struct Link<G, P> {
     pub(super) calls: Calls<G, P>,
     pub(super) keys: CellKeys,
     pub(super) feed: watch::Receiver<u64>,
-    /// Whether operators sign in.
+    /// Whether operators have to sign in.
     pub(super) signed_in: bool,
-    /// Where this daemon answers HTTP itself.
+    /// Address of this daemon's own HTTP server, which answers forwarded requests.
     pub(super) http: SocketAddr,
     pub(super) client: reqwest::Client,
     pub(super) log: Logger,
@@ -59,14 +61,14 @@
     P: Placer + Send + 'static,
     G: Group<Machine<P>>,
 {
-    /// Serves connections until the listener's task is dropped.
+    /// Accepts connections until its task is aborted; that also ends the connections.
     pub(super) async fn serve(self: Arc<Self>, listener: TcpListener) {
         let mut connections = JoinSet::new();
         loop {
             tokio::select! {
                 accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => {
-                        connections.spawn(Arc::clone(&self).connection(stream));
+                        connections.spawn(Arc::clone(&self).serve_connection(stream));
                     }
                     Err(e) => {
                         warn!(self.log, "accepting a connection failed"; "step" => %Step::Listen, "error" => %e);
@@ -78,10 +80,10 @@
         }
     }
 
-    async fn connection(self: Arc<Self>, stream: TcpStream) {
+    async fn serve_connection(self: Arc<Self>, stream: TcpStream) {
         let peer = stream.peer_addr();
-        let shaken = timeout(HANDSHAKE_TIMEOUT, accept(stream, &self.keys)).await;
-        let (rx, tx) = match shaken {
+        let handshake = timeout(HANDSHAKE_TIMEOUT, accept(stream, &self.keys)).await;
+        let (rx, tx) = match handshake {
             Ok(Ok(halves)) => halves,
             Ok(Err(e)) => {
                 metrics::counter!("yuccahold_wire_strangers_refused_total").increment(1);
@@ -92,30 +94,31 @@
                 return warn!(self.log, "a handshake took too long"; "peer" => ?peer);
             }
         };
-        let ended = Arc::clone(&self).converse(rx, tx).await;
+        let ended = Arc::clone(&self).serve_messages(rx, tx).await;
         if let Err(e) = ended {
             debug!(self.log, "a connection ended"; "error" => %e);
         }
     }
 
-    async fn converse(self: Arc<Self>, mut rx: FrameReader, tx: FrameWriter) -> Result<()> {
+    async fn serve_messages(self: Arc<Self>, mut rx: FrameReader, tx: FrameWriter) -> Result<()> {
         let (sender, queue) = mpsc::channel(SEND_QUEUE);
         let mut tasks = JoinSet::new();
-        tasks.spawn(write_all(tx, queue));
+        tasks.spawn(write_queued(tx, queue));
         let mut hello: Option<Arc<EntryHello>> = None;
         while let Some(message) = rx.read::<ToControl>().await? {
             while tasks.try_join_next().is_some() {}
             match message {
-                ToControl::Hello(introduced) => {
-                    let held = introduced.in_force;
-                    hello = Some(Arc::new(introduced));
+                ToControl::Hello(received) => {
+                    let held = received.in_force;
+                    hello = Some(Arc::new(received));
                     tasks.spawn(Arc::clone(&self).feed(held, sender.clone()));
                 }
                 ToControl::Call { id, call } => {
-                    if tasks.len() > CALLS_IN_WORK {
+                    if tasks.len() > MAX_CALLS_IN_FLIGHT {
                         tasks.join_next().await;
                     }
-                    let task = Arc::clone(&self).call(hello.clone(), id, call, sender.clone());
+                    let task =
+                        Arc::clone(&self).answer_call(hello.clone(), id, call, sender.clone());
                     tasks.spawn(task);
                 }
             }
@@ -123,7 +126,7 @@
         Ok(())
     }
 
-    async fn call(
+    async fn answer_call(
         self: Arc<Self>,
         hello: Option<Arc<EntryHello>>,
         id: CallId,
@@ -131,7 +134,7 @@
         sender: mpsc::Sender<FromControl>,
     ) {
         let answer = match call {
-            Call::Http(_) if hello.is_some() && !self.signed_in => not_served(),
+            Call::Http(_) if hello.is_some() && !self.signed_in => sign_in_required(),
             Call::Http(call) => self.operate(call).await,
             call => self.calls.answer(hello.as_deref(), call).await,
         };
@@ -139,15 +142,15 @@
     }
 
     async fn operate(&self, call: HttpCall) -> Answer {
-        let leads = self.calls.read(|_, _| ()).await;
-        match leads {
-            Ok(()) => own_answer(&self.client, self.http, call).await,
+        let confirmed = self.calls.read(|_, _| ()).await;
+        match confirmed {
+            Ok(()) => answer_locally(&self.client, self.http, call).await,
             Err(not_leader) => not_leader,
         }
     }
 
-    /// Sends the whole feed first, then what changes, from confirmed reads only: a replica that
-    /// was cut off must not hand out an older document.
+    /// Sends the complete feed first, then its changes. Only reads with confirmed leadership are
+    /// used, because a replica that is cut off from the group could send an outdated document.
     async fn feed(self: Arc<Self>, held: Revision, sender: mpsc::Sender<FromControl>) {
         let mut changes = self.feed.clone();
         let mut sent: Option<Arc<Feed>> = None;
@@ -166,13 +169,14 @@
             if changes.changed().await.is_err() {
                 return;
             }
-            tokio::time::sleep(FEED_GATHER).await;
+            tokio::time::sleep(FEED_BATCH_DELAY).await;
         }
     }
 }
 
-/// What to send to a connection that was sent one feed and must hold another; `held` is the
-/// revision of the document it held before the connection.
+/// The message that brings a connection from the feed sent last to the latest one; `None` if they
+/// are equal. `held` is the document revision that the entry host had before it connected; that
+/// document isn't sent again.
 fn feed_message(sent: Option<&Feed>, latest: &Feed, held: Revision) -> Option<FromControl> {
     let Some(sent) = sent else {
         let mut whole = latest.clone();
@@ -183,14 +187,16 @@
     (!delta.is_empty(sent.revision)).then(|| FromControl::Change(Box::new(delta)))
 }
 
-/// While sign-in is off, only loopback may change the cell. An entry host takes requests from
-/// anywhere, so what it carries would let every caller in.
-fn not_served() -> Answer {
+/// Refuses operators' requests through entry hosts while sign-in is off. Only loopback may change
+/// the cell then, but an entry host accepts requests from any address.
+fn sign_in_required() -> Answer {
     let message = "sign-in is off; ask a control replica on its loopback address";
-    Answer::Http(problem(403, message))
+    Answer::Http(error_answer(403, message))
 }
 
-async fn write_all(mut tx: FrameWriter, mut queue: mpsc::Receiver<FromControl>) {
+/// Writes queued messages until the queue or the connection closes, and flushes when the queue is
+/// empty.
+async fn write_queued(mut tx: FrameWriter, mut queue: mpsc::Receiver<FromControl>) {
     while let Some(message) = queue.recv().await {
         if tx.queue(&message).is_err() {
             return;
@@ -206,7 +212,7 @@
     }
 }
 
-/// Carries an operator's request to the leader.
+/// Forwards an operator's request to the leader and returns its answer.
 pub(super) async fn forward(leader: SocketAddr, keys: &CellKeys, call: HttpCall) -> Result<Answer> {
     let exchange = async {
         let (mut rx, mut tx) = connect(leader, keys).await?;
--- a/src/control/machine.rs
+++ b/src/control/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine above the replicated log: the cell, and what only its leader holds.
+//! The state machine of the replicated log: the cell, and the volatile state of its leader.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,62 +19,65 @@
 
 pub use crate::state::Command;
 
-/// Lease of an entry host. A short one bounds how long its minions are idle after its death.
+/// Lease of an entry host. Short, because the minions of a lost entry host stay idle until it
+/// expires.
 pub const ENTRY_LEASE: Duration = Duration::from_secs(2);
 
 /// The replicated cell and the volatile state of its leader.
 pub struct Machine<P> {
     pub(crate) cell: Cell,
     pub(super) make_placer: fn() -> P,
-    /// What only a leader holds; none on a follower.
-    pub(super) lead: Option<Lead<P>>,
+    /// `None` unless this replica is the leader.
+    pub(super) leader: Option<LeaderState<P>>,
     pub(super) feed: watch::Sender<u64>,
-    /// The feed that belongs to a number of changes, shared by all connections.
+    /// The last feed built, with the value of [`Cell::feed_changes`] it was built at; shared by all
+    /// connections.
     latest_feed: Option<(u64, Arc<Feed>)>,
 }
 
-/// A worker's list of runs.
-pub(super) struct HeldList {
+/// The last list of runs that a worker process sent.
+pub(super) struct RunList {
     pub(super) process: ProcessId,
+    /// Number of the list, by which later polls refer to it.
     pub(super) list: u64,
     pub(super) running: Vec<TaskRun>,
 }
 
-/// Volatile state of a leader, built anew by each one.
-pub(super) struct Lead<P> {
+/// Volatile state of the leader; each new leader starts with a new one.
+pub(super) struct LeaderState<P> {
     pub(super) placer: P,
-    /// What to add to monotonic time to get the cell's time.
+    /// Difference from monotonic time to the cell's time.
     pub(super) offset: Duration,
     pub(super) workers: LeaseTable<WorkerNumber>,
     pub(super) entries: LeaseTable<EntryId>,
     pub(super) minions: LeaseTable<MinionId>,
-    /// Runs granted by this leader that no answer has named yet.
+    /// Runs granted by this leader that were not yet in an answer to their worker.
     pub(super) unsent: BTreeMap<WorkerNumber, BTreeSet<(JobNumber, TaskIndex, Attempt)>>,
-    /// Wakes a worker's waiting poll.
+    /// Notifies a worker's waiting poll of changes.
     pub(super) wakers: BTreeMap<WorkerNumber, watch::Sender<()>>,
-    /// Orders to stop in the latest answer to each worker.
-    pub(super) told: BTreeMap<WorkerNumber, Vec<StopRun>>,
-    /// Latest list of runs that each worker sent.
-    pub(super) lists: BTreeMap<WorkerNumber, HeldList>,
-    /// Number of the latest poll seen of each worker's process.
+    /// Stop orders in the latest answer to each worker.
+    pub(super) sent_stops: BTreeMap<WorkerNumber, Vec<StopRun>>,
+    /// Latest list of runs of each worker.
+    pub(super) run_lists: BTreeMap<WorkerNumber, RunList>,
+    /// Highest poll number received from each worker's process.
     pub(super) sequences: BTreeMap<WorkerNumber, u64>,
-    /// Document revision that each entry host reports, and when it did.
+    /// Document revision that each entry host reported to have in force, and when.
     pub(super) in_force: BTreeMap<EntryId, (Revision, Timestamp)>,
-    /// Starts counted against the objectives since the last command.
+    /// Counts against the objectives since the last [`Command::Burn`].
     pub(super) tally: Tally,
-    /// When starts were last handed to the log.
-    pub(super) tallied: Timestamp,
-    /// When the entry hosts' shares of minions were last compared.
-    pub(super) balanced: Timestamp,
+    /// Time when the tally was last written to the log.
+    pub(super) tally_flushed_at: Timestamp,
+    /// Time of the last check of the distribution of minions.
+    pub(super) balanced_at: Timestamp,
 }
 
 impl<P: Placer + Send + 'static> Machine<P> {
-    /// An empty cell.
+    /// Creates a machine with an empty cell; `make_placer` is called on each election to leader.
     pub fn new(make_placer: fn() -> P) -> Self {
         Self {
             cell: Cell::default(),
             make_placer,
-            lead: None,
+            leader: None,
             feed: watch::Sender::new(0),
             latest_feed: None,
         }
@@ -85,12 +88,12 @@
         &self.cell
     }
 
-    /// Grows with each change to what entry hosts are fed.
+    /// Receiver of a counter that increases with each change to the feed of the entry hosts.
     pub fn feed_changes(&self) -> watch::Receiver<u64> {
         self.feed.subscribe()
     }
 
-    /// Everything an entry host must hold. Built once for each change.
+    /// The complete feed, rebuilt only after a change.
     pub fn latest_feed(&mut self) -> Arc<Feed> {
         let changes = self.cell.feed_changes();
         match &self.latest_feed {
@@ -103,14 +106,15 @@
         }
     }
 
-    /// The cell's time that belongs to a monotonic time; only a leader knows it.
+    /// Converts monotonic time to the cell's time. Without the leader's offset it returns the time
+    /// of the latest command.
     pub(super) fn cell_time(&self, now: Timestamp) -> Timestamp {
-        self.lead
+        self.leader
             .as_ref()
-            .map_or(self.cell.clock, |lead| now + lead.offset)
+            .map_or(self.cell.clock, |leader| now + leader.offset)
     }
 
-    /// Hands what changed in the cell to the placer, the waiting polls and the feed.
+    /// Passes changes of the cell to the placer, the waiting polls and the feed.
     pub(super) fn publish(&mut self) {
         let events = self.cell.take_events();
         let touched = self.cell.take_changed_workers();
@@ -121,19 +125,22 @@
             modified
         });
         let clock = self.cell.clock;
-        let Some(lead) = &mut self.lead else { return };
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         for event in events {
-            lead.placer.handle(clock, event);
+            leader.placer.handle(clock, event);
         }
         for worker in touched {
-            if let Some(waker) = lead.wakers.get(&worker) {
+            if let Some(waker) = leader.wakers.get(&worker) {
                 waker.send_replace(());
             }
         }
     }
 
-    fn note_grants(&mut self, command: &Command) {
-        let (Some(lead), Command::Place(place)) = (&mut self.lead, command) else {
+    /// Counts first starts against the objectives and marks the granted runs as unsent.
+    fn record_grants(&mut self, command: &Command) {
+        let (Some(leader), Command::Place(place)) = (&mut self.leader, command) else {
             return;
         };
         for group in &place.jobs {
@@ -150,33 +157,39 @@
                     if let Some(event) = start_event(&self.cell, group.job, start.worker)
                         && task.attempt == 1
                     {
-                        lead.tally.record(event);
+                        leader.tally.record(event);
                     }
                     let run = (group.job, index, task.attempt);
-                    lead.unsent.entry(start.worker).or_default().insert(run);
+                    leader.unsent.entry(start.worker).or_default().insert(run);
                 }
             }
         }
     }
 
-    fn note_losses(&mut self, command: &Command) {
-        let Some(lead) = &mut self.lead else { return };
+    /// Applies new objectives, and drops the leader's state of lost workers, entry hosts and
+    /// minions.
+    fn record_losses(&mut self, command: &Command) {
+        let Some(leader) = &mut self.leader else {
+            return;
+        };
         match command {
             Command::PutDocument { .. } => {
-                lead.tally.set_objectives(&self.cell.document().objectives);
+                leader
+                    .tally
+                    .set_objectives(&self.cell.document().objectives);
             }
             Command::WorkerDown { worker, .. } => {
-                lead.workers.forget(worker);
-                lead.unsent.remove(worker);
-                lead.told.remove(worker);
-                lead.sequences.remove(worker);
-                lead.lists.remove(worker);
+                leader.workers.forget(worker);
+                leader.unsent.remove(worker);
+                leader.sent_stops.remove(worker);
+                leader.sequences.remove(worker);
+                leader.run_lists.remove(worker);
             }
             Command::EntryDown { entry, .. } => {
-                lead.entries.forget(entry);
-                lead.in_force.remove(entry);
+                leader.entries.forget(entry);
+                leader.in_force.remove(entry);
             }
-            Command::MinionDown { minion, .. } => lead.minions.forget(minion),
+            Command::MinionDown { minion, .. } => leader.minions.forget(minion),
             _ => {}
         }
     }
@@ -188,7 +201,7 @@
     fn apply(&mut self, _index: LogIndex, at: Timestamp, command: &[u8]) -> Reply {
         let command = match Command::from_bytes(command) {
             Ok(command) => command,
-            // Every replica of this version refuses it alike, so they stay equal.
+            // All replicas of this version refuse the entry, so their states stay equal.
             Err(e) => {
                 return Reply::Refused(crate::wire::Refusal {
                     kind: RefusalKind::Invalid,
@@ -197,9 +210,9 @@
                 });
             }
         };
-        // Only a leader notes anything, and only of these; answers kept under keys, which may be
-        // large, are not copied.
-        let noted = matches!(
+        // Only the leader records anything, and only for these commands. Others aren't cloned,
+        // because the answers stored under keys may be large.
+        let recorded = matches!(
             command,
             Command::Place(_)
                 | Command::PutDocument { .. }
@@ -207,11 +220,11 @@
                 | Command::EntryDown { .. }
                 | Command::MinionDown { .. }
         );
-        let noted = (noted && self.lead.is_some()).then(|| command.clone());
+        let recorded = (recorded && self.leader.is_some()).then(|| command.clone());
         let reply = self.cell.apply(at, command);
-        if let Some(command) = &noted {
-            self.note_grants(command);
-            self.note_losses(command);
+        if let Some(command) = &recorded {
+            self.record_grants(command);
+            self.record_losses(command);
         }
         self.publish();
         reply
@@ -219,23 +232,25 @@
 
     fn leadership_changed(&mut self, leading: bool, now: Timestamp) {
         if !leading {
-            self.lead = None;
+            self.leader = None;
             return;
         }
         self.cell.take_events();
         self.cell.take_changed_workers();
-        let mut lead = Lead::new((self.make_placer)(), now, self.cell.clock);
+        let mut leader = LeaderState::new((self.make_placer)(), now, self.cell.clock);
         for event in self.cell.replayed_events() {
-            lead.placer.handle(self.cell.clock, event);
+            leader.placer.handle(self.cell.clock, event);
         }
-        lead.assume_leases(&self.cell, now);
-        lead.tally.set_objectives(&self.cell.document().objectives);
-        self.lead = Some(lead);
+        leader.assume_leases(&self.cell, now);
+        leader
+            .tally
+            .set_objectives(&self.cell.document().objectives);
+        self.leader = Some(leader);
     }
 
     fn lead(&mut self, now: Timestamp) -> Vec<Vec<u8>> {
         self.publish();
-        let commands = self.upkeep(now);
+        let commands = self.due_commands(now);
         commands
             .iter()
             .filter_map(|command| command.to_bytes().ok())
@@ -254,7 +269,7 @@
     }
 }
 
-impl<P: Placer> Lead<P> {
+impl<P: Placer> LeaderState<P> {
     fn new(placer: P, now: Timestamp, clock: Timestamp) -> Self {
         Self {
             placer,
@@ -264,17 +279,18 @@
             minions: LeaseTable::default(),
             unsent: BTreeMap::new(),
             wakers: BTreeMap::new(),
-            told: BTreeMap::new(),
-            lists: BTreeMap::new(),
+            sent_stops: BTreeMap::new(),
+            run_lists: BTreeMap::new(),
             sequences: BTreeMap::new(),
             in_force: BTreeMap::new(),
             tally: Tally::default(),
-            tallied: now,
-            balanced: now,
+            tally_flushed_at: now,
+            balanced_at: now,
         }
     }
 
-    /// Treats every lease an earlier leader may have granted as granted now.
+    /// Treats every lease that an earlier leader may have granted as granted now: this leader
+    /// can't tell when it was last renewed.
     fn assume_leases(&mut self, cell: &Cell, now: Timestamp) {
         let ttl = cell.document().policy.lease;
         for (number, worker) in &cell.workers {
@@ -291,13 +307,13 @@
         }
     }
 
-    /// A receiver that sees every later change of the worker's tasks.
+    /// Subscribes to later changes of the worker's tasks.
     pub(super) fn waker(&mut self, worker: WorkerNumber) -> watch::Receiver<()> {
         let waker = self.wakers.entry(worker);
         waker.or_insert_with(|| watch::Sender::new(())).subscribe()
     }
 
-    /// Takes the runs of a worker that no answer has named.
+    /// Removes and returns the worker's granted runs that were in no answer to it.
     pub(super) fn never_sent(&mut self, worker: WorkerNumber) -> Vec<(JobNumber, TaskIndex)> {
         let unsent = self.unsent.remove(&worker).unwrap_or_default();
         unsent
@@ -306,6 +322,7 @@
             .collect()
     }
 
+    /// Process that holds the entry host's lease.
     pub(super) fn process_of_entry(&self, entry: &EntryId) -> Option<ProcessId> {
         self.entries.holder(entry)
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,5 +1,5 @@
-//! The control daemon: the cell's state machine with its leader's upkeep, the calls of entry
-//! hosts and the operators' HTTP interface.
+//! The control daemon: the replicated state machine with the leader's periodic work, the calls of
+//! entry hosts, and the operators' HTTP API.
 
 mod api;
 mod burn;
@@ -15,10 +15,10 @@
 mod polls;
 mod tables;
 
-pub use api::MAX_DOCUMENT;
+pub use api::MAX_DOCUMENT_BYTES;
 pub use calls::Calls;
 pub use daemon::{ControlHandle, start};
 pub use entries::RenewStep;
 pub use group::Group;
 pub use machine::{Command, ENTRY_LEASE, Machine};
-pub use polls::{Patience, PollStep};
+pub use polls::{PollMode, PollStep};
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -1,10 +1,10 @@
-//! A worker's poll: its lease, the runs it must hold, and the ends it reports.
+//! A worker's poll: renews its lease, returns its assigned runs and records the ends it reports.
 
 use std::time::Duration;
 
 use tokio::sync::watch;
 
-use super::machine::{Command, HeldList, Lead, Machine};
+use super::machine::{Command, LeaderState, Machine, RunList};
 use crate::ids::Timestamp;
 use crate::placement::{Event, Placer};
 use crate::resources::Resources;
@@ -12,70 +12,68 @@
 use crate::wire::{WorkerPoll, WorkerTasks};
 use crate::workload::TaskRun;
 
-/// What comes next for a poll.
+/// Next step for a poll.
 #[derive(Debug)]
 pub enum PollStep {
-    /// These commands must be agreed first; then the poll is looked at again.
+    /// These commands must be committed first; then the poll is checked again.
     Propose(Vec<Command>),
-    /// The answer.
+    /// Send this answer.
     Answer(WorkerTasks),
-    /// There is no news; look again when woken or when the poll's wait is over.
+    /// Nothing changed for the worker; check again on a notification or when the poll's wait ends.
     Hold(watch::Receiver<()>),
 }
 
-/// Whether a poll may be held back while there is no news.
+/// Whether a poll may wait while nothing changed for its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Patience {
-    /// Hold it back until there is news.
+pub enum PollMode {
+    /// Wait for a change.
     Hold,
-    /// Answer now.
+    /// Answer at once, since the poll's wait has ended.
     AnswerNow,
 }
 
 impl<P: Placer + Send + 'static> Machine<P> {
-    /// Looks at a poll at `now`, a monotonic time at which leadership was confirmed after the
-    /// poll arrived.
-    pub fn poll_worker(
-        &mut self,
-        now: Timestamp,
-        poll: &WorkerPoll,
-        patience: Patience,
-    ) -> PollStep {
+    /// Handles a poll. `now` is a monotonic time at which leadership was confirmed after the poll
+    /// arrived.
+    pub fn poll_worker(&mut self, now: Timestamp, poll: &WorkerPoll, mode: PollMode) -> PollStep {
         let lease = self.cell.document().policy.lease;
         let Some((number, record)) = self.cell.worker(&poll.worker.id) else {
-            return self.poll_of_stranger(poll);
+            return self.join_worker(poll);
         };
-        let Some(lead) = &mut self.lead else {
-            return refuse_lease();
+        let Some(leader) = &mut self.leader else {
+            return answer_without_lease();
         };
-        if record.process == poll.process && !lead.is_latest(number, poll.sequence) {
-            // A later poll of this process came first: this one's list of runs is out of date.
-            return refuse_lease();
+        if record.process == poll.process && !leader.is_latest(number, poll.sequence) {
+            // A later poll of this process arrived first, so this one's list of runs is outdated.
+            return answer_without_lease();
         }
-        if record.process != poll.process || !lead.workers.renew(&number, poll.process, now, lease)
+        if record.process != poll.process
+            || !leader.workers.renew(&number, poll.process, now, lease)
         {
-            // An earlier process may still run tasks under its lease, or this one's lease is
-            // over and its runs are being given to others. Without a lease it starts nothing.
-            return refuse_lease();
+            // Either an earlier process may still run tasks under its lease, or the lease of this
+            // process has expired and its runs are being reassigned. Without a lease the worker
+            // starts nothing.
+            return answer_without_lease();
         }
-        let Some(poll) = &lead.whole_poll(number, poll) else {
+        let Some(poll) = &leader.with_run_list(number, poll) else {
             return PollStep::Answer(WorkerTasks {
                 lease,
                 send_list: true,
                 ..WorkerTasks::default()
             });
         };
-        let commands = commands_for(number, record, poll, &self.cell, lead);
+        let commands = poll_commands(number, record, poll, &self.cell, leader);
         if !commands.is_empty() {
             return PollStep::Propose(commands);
         }
-        lead.take_usage(self.cell.clock, poll);
-        self.answer_poll(number, poll, lease, patience)
+        leader.record_usage(self.cell.clock, poll);
+        self.answer_poll(number, poll, lease, mode)
     }
 
-    fn poll_of_stranger(&self, poll: &WorkerPoll) -> PollStep {
+    /// Lets an unknown worker join, unless it is leaving.
+    fn join_worker(&self, poll: &WorkerPoll) -> PollStep {
         if poll.leaving {
-            return refuse_lease();
+            return answer_without_lease();
         }
         let spec = poll.worker.clone();
         let process = poll.process;
@@ -87,7 +85,7 @@
         number: WorkerNumber,
         poll: &WorkerPoll,
         lease: Duration,
-        patience: Patience,
+        mode: PollMode,
     ) -> PollStep {
         let mut tasks = self.cell.tasks_for(number, &poll.running);
         tasks.lease = lease;
@@ -95,41 +93,43 @@
         let ended = |run: &TaskRun| poll.ended.iter().any(|ended| ended.run == *run);
         tasks.stop.retain(|stop| !ended(&stop.run));
         tasks.assigned.retain(|assigned| !ended(&assigned.run));
-        // Only what the worker does not hold yet is told: with 18 runs a worker, telling all of
-        // them in every answer would be most of control's traffic.
+        // Runs that the worker already has are left out: with 18 runs per worker, listing all of
+        // them in every answer would be most of the traffic of control.
         let holds = |run: &TaskRun| poll.running.contains(run);
         tasks.assigned.retain(|assigned| !holds(&assigned.run));
-        let Some(lead) = &mut self.lead else {
-            return refuse_lease();
+        let Some(leader) = &mut self.leader else {
+            return answer_without_lease();
         };
         let starts = !tasks.assigned.is_empty();
-        // A run takes a while to stop; the same orders again are no news.
-        let orders = lead
-            .told
+        // A run takes time to stop; orders that were already sent are no reason to answer.
+        let orders = leader
+            .sent_stops
             .get(&number)
-            .is_none_or(|told| *told != tasks.stop);
-        let news = starts || orders || !poll.ended.is_empty();
-        if !news && patience == Patience::Hold {
-            return PollStep::Hold(lead.waker(number));
+            .is_none_or(|sent| *sent != tasks.stop);
+        let changed = starts || orders || !poll.ended.is_empty();
+        if !changed && mode == PollMode::Hold {
+            return PollStep::Hold(leader.waker(number));
         }
-        lead.told.insert(number, tasks.stop.clone());
-        // From here on the runs may start: they can no longer be proved not to have run.
-        lead.unsent.remove(&number);
+        leader.sent_stops.insert(number, tasks.stop.clone());
+        // From here on the worker may start the runs, so they no longer count as never sent.
+        leader.unsent.remove(&number);
         PollStep::Answer(tasks)
     }
 }
 
-/// An answer without a lease: start nothing, stop nothing on its account, poll again.
-fn refuse_lease() -> PollStep {
+/// An answer without a lease: the worker starts nothing, stops nothing because of it, and polls
+/// again.
+fn answer_without_lease() -> PollStep {
     PollStep::Answer(WorkerTasks::default())
 }
 
-fn commands_for<P: Placer>(
+/// The commands that must be committed before the poll is answered.
+fn poll_commands<P: Placer>(
     number: WorkerNumber,
     record: &WorkerRecord,
     poll: &WorkerPoll,
     cell: &crate::state::Cell,
-    lead: &mut Lead<P>,
+    leader: &mut LeaderState<P>,
 ) -> Vec<Command> {
     let mut commands = Vec::new();
     if record.spec != poll.worker {
@@ -149,7 +149,7 @@
         commands.push(Command::WorkerLeaving(number));
     }
     if poll.leaving && record.leaving && record.runs.is_empty() && poll.running.is_empty() {
-        lead.workers.give_up(&number, poll.process);
+        leader.workers.give_up(&number, poll.process);
         commands.push(Command::WorkerDown {
             worker: number,
             process: poll.process,
@@ -159,7 +159,7 @@
     commands
 }
 
-/// Ends in the poll that the cell has not recorded yet.
+/// Run ends in the poll that the cell hasn't recorded yet.
 fn unrecorded_ends(
     number: WorkerNumber,
     poll: &WorkerPoll,
@@ -179,37 +179,38 @@
     ends.collect()
 }
 
-impl<P: Placer> Lead<P> {
-    /// Whether no later poll was seen, and notes this one.
+impl<P: Placer> LeaderState<P> {
+    /// Records a poll's number and returns whether no later poll was received before.
     fn is_latest(&mut self, number: WorkerNumber, sequence: u64) -> bool {
         let latest = self.sequences.entry(number).or_default();
         *latest = sequence.max(*latest);
         *latest == sequence
     }
 
-    /// The poll with its list of runs; none when the list was left out and is not known here,
-    /// as after a change of leaders.
+    /// The poll with its list of runs filled in. `None` if the poll left the list out and this
+    /// leader doesn't have it, as after a change of leader.
     ///
-    /// At 18 runs a worker the lists would be most of what control receives, although they
-    /// seldom change between two polls.
-    fn whole_poll(&mut self, number: WorkerNumber, poll: &WorkerPoll) -> Option<WorkerPoll> {
-        let mut whole = poll.clone();
+    /// With 18 runs per worker the lists would be most of the data that control receives,
+    /// although they rarely change between two polls.
+    fn with_run_list(&mut self, number: WorkerNumber, poll: &WorkerPoll) -> Option<WorkerPoll> {
+        let mut complete = poll.clone();
         if poll.unchanged {
-            let held = self.lists.get(&number);
+            let held = self.run_lists.get(&number);
             let held = held.filter(|held| held.process == poll.process && held.list == poll.list);
-            whole.running.clone_from(&held?.running);
-            return Some(whole);
+            complete.running.clone_from(&held?.running);
+            return Some(complete);
         }
-        let held = HeldList {
+        let held = RunList {
             process: poll.process,
             list: poll.list,
             running: poll.running.clone(),
         };
-        self.lists.insert(number, held);
-        Some(whole)
+        self.run_lists.insert(number, held);
+        Some(complete)
     }
 
-    fn take_usage(&mut self, clock: Timestamp, poll: &WorkerPoll) {
+    /// Passes the measured usage of runs to the placer.
+    fn record_usage(&mut self, clock: Timestamp, poll: &WorkerPoll) {
         for usage in &poll.usage {
             let used = Resources {
                 millicores: usage.millicores,
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -1,4 +1,4 @@
-//! Tables that join the replicated state with what only the leader knows.
+//! Tables that combine the replicated state with the leader's volatile state.
 
 use std::time::Duration;
 
@@ -8,16 +8,17 @@
 use crate::state::{EntryRow, MinionRow, WorkerRow};
 
 impl<P: Placer + Send + 'static> Machine<P> {
-    /// Workers with the time since each last renewed its lease.
+    /// Workers with the time since each one's last lease renewal; zero on a replica that isn't the
+    /// leader.
     pub fn worker_rows(&self, now: Timestamp) -> Vec<WorkerRow> {
-        let lead = self.lead.as_ref();
+        let leader = self.leader.as_ref();
         self.cell.worker_rows(|number| {
-            let silent = lead.and_then(|lead| lead.workers.silent(&number, now));
+            let silent = leader.and_then(|leader| leader.workers.silent(&number, now));
             silent.unwrap_or(Duration::ZERO)
         })
     }
 
-    /// Entry hosts with the revision each has in force.
+    /// Entry hosts with the document revision that each reported to have in force.
     pub fn entry_rows(&self, now: Timestamp) -> Vec<EntryRow> {
         let reports = self.revisions_in_force(now).into_iter();
         let rows = reports.filter_map(|(id, report)| {
@@ -35,7 +36,7 @@
         rows.collect()
     }
 
-    /// Minions with their owners.
+    /// Minions with the entry hosts that own them.
     pub fn minion_rows(&self) -> Vec<MinionRow> {
         let minions = self.cell.minions.iter();
         let rows = minions.map(|(id, minion)| MinionRow {
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -131,9 +131,9 @@
             let Some((_, service, key)) = self.claims.pop_front() else {
                 break;
             };
-            let hash = fingerprint(&service, &key);
+            let key_hash = fingerprint(&service, &key);
             self.records.remove(&(service, key));
-            self.add_tombstone(hash, now);
+            self.add_tombstone(key_hash, now);
         }
         while let Some((at, _)) = self.tombstones_by_time.front() {
             let kept = *at + retention * TOMBSTONE_FACTOR > now
@@ -141,11 +141,11 @@
             if kept {
                 break;
             }
-            let Some((at, hash)) = self.tombstones_by_time.pop_front() else {
+            let Some((at, key_hash)) = self.tombstones_by_time.pop_front() else {
                 break;
             };
-            if self.tombstones.get(&hash) == Some(&at) {
-                self.tombstones.remove(&hash);
+            if self.tombstones.get(&key_hash) == Some(&at) {
+                self.tombstones.remove(&key_hash);
             }
         }
     }
@@ -161,9 +161,9 @@
             .contains_key(&fingerprint(&CompactString::const_new("job"), name))
     }
 
-    fn add_tombstone(&mut self, hash: u64, now: Timestamp) {
-        self.tombstones.insert(hash, now);
-        self.tombstones_by_time.push_back((now, hash));
+    fn add_tombstone(&mut self, key_hash: u64, now: Timestamp) {
+        self.tombstones.insert(key_hash, now);
+        self.tombstones_by_time.push_back((now, key_hash));
     }
 }
 
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,8 +1,9 @@
-//! A leader's leases over workers and entry hosts: who may run what, and from when.
+//! The leader's leases on workers and entry hosts: no task is given to a second worker and no
+//! minion to a second process while an earlier one may still be active.
 
 use std::time::Duration;
 
-use yuccahold::control::{Command, ENTRY_LEASE, Machine, Patience, PollStep, RenewStep};
+use yuccahold::control::{Command, ENTRY_LEASE, Machine, PollMode, PollStep, RenewStep};
 use yuccahold::document::{Document, JobKind, Objective, ObjectiveTarget};
 use yuccahold::lease::grantor_span;
 use yuccahold::placement::FirstFit;
@@ -17,7 +18,7 @@
 const LEASE: Duration = Duration::from_secs(10);
 const UNIX: Duration = Duration::from_secs(1_700_000_000);
 
-/// One leader with its log; every command is agreed at once.
+/// A leader whose commands are applied at once, without other replicas.
 struct Leader {
     machine: Machine<FirstFit>,
     now: Duration,
@@ -59,7 +60,7 @@
         self.machine.apply(self.index, UNIX + self.now, &bytes)
     }
 
-    /// Lets time pass and agrees on what the leader wants until it wants nothing more.
+    /// Advances time and applies the leader's commands until it proposes none.
     fn pass(&mut self, span: Duration) {
         self.now += span;
         loop {
@@ -86,12 +87,12 @@
         self.pass(Duration::ZERO);
     }
 
-    /// Answers a poll as the calls do, agreeing on what it needs.
+    /// Answers a poll as the daemon does, applying the commands that it needs first.
     fn poll(&mut self, poll: &WorkerPoll) -> WorkerTasks {
         loop {
             match self
                 .machine
-                .poll_worker(self.now, poll, Patience::AnswerNow)
+                .poll_worker(self.now, poll, PollMode::AnswerNow)
             {
                 PollStep::Answer(tasks) => return tasks,
                 PollStep::Propose(commands) => {
@@ -100,7 +101,7 @@
                     }
                     self.pass(Duration::ZERO);
                 }
-                PollStep::Hold(_) => panic!("held back though it must answer now"),
+                PollStep::Hold(_) => panic!("the poll was held although the mode is AnswerNow"),
             }
         }
     }
@@ -147,14 +148,15 @@
         .collect()
 }
 
-fn over() -> Duration {
+/// Time after which the leader treats an unrenewed worker lease as expired.
+fn expiry() -> Duration {
     grantor_span(LEASE) + Duration::from_millis(1)
 }
 
 #[test]
-fn a_start_whose_answer_is_lost_is_told_again() {
-    // The worker asks, control answers with a start, the answer is lost. The worker asks again
-    // and is told of the same start, under the same attempt.
+fn a_start_whose_answer_is_lost_is_sent_again() {
+    // A worker polls and the answer with a start is lost. The next poll must return the same start
+    // with the same attempt.
     let mut leader = Leader::new();
     leader.poll(&worker("w", 1));
     leader.submit("a", "plan");
@@ -165,13 +167,13 @@
 
 #[test]
 fn a_lease_that_ends_races_a_finish() {
-    // A worker finishes a plan while its lease runs out. Its report comes too late: the plan's
-    // outcome is unknown by then. The worker joins again, and its word settles the outcome.
+    // A worker finishes a task while its lease expires, so the outcome is unknown when its report
+    // arrives. The worker joins again, and its report resolves the outcome.
     let mut leader = Leader::new();
     leader.poll(&worker("w", 1));
     leader.submit("a", "plan");
     leader.poll(&worker("w", 1));
-    leader.pass(over());
+    leader.pass(expiry());
     assert_eq!(leader.phase("a"), JobPhase::Unknown);
     let mut late = worker("w", 1);
     late.ended = vec![EndedRun {
@@ -184,27 +186,27 @@
 }
 
 #[test]
-fn a_plan_that_was_never_told_of_waits_again() {
-    // A start is agreed, but the worker never asks again before its lease ends. No answer named
-    // the start, so it is proved not to have run and may go to another worker.
+fn a_plan_that_was_never_sent_waits_again() {
+    // A start is committed, but the worker doesn't poll again before its lease expires. The start
+    // was in no answer, so the task can't have run and may start on another worker.
     let mut leader = Leader::new();
     leader.poll(&worker("w", 1));
     leader.submit("a", "plan");
-    leader.pass(over());
+    leader.pass(expiry());
     assert_eq!(leader.phase("a"), JobPhase::Running);
     let tasks = leader.poll(&worker("v", 1));
     assert_eq!(starts(&tasks), [run("a", 2)]);
 }
 
 #[test]
-fn a_worker_back_after_its_lease_stops_what_others_run_now() {
-    // A worker is cut off for longer than its lease; its task starts elsewhere. When it comes
-    // back it still lists the run: it is told to stop it and starts nothing of the old.
+fn a_worker_back_after_its_lease_stops_reassigned_runs() {
+    // A worker is cut off for longer than its lease, and its task starts on another worker. When
+    // it returns and still lists the run, it must be ordered to stop it and start nothing.
     let mut leader = Leader::new();
     leader.poll(&worker("w", 1));
     leader.submit("a", "sum");
     assert_eq!(starts(&leader.poll(&worker("w", 1))), [run("a", 1)]);
-    leader.pass(over());
+    leader.pass(expiry());
     assert_eq!(starts(&leader.poll(&worker("v", 1))), [run("a", 2)]);
     let mut back = worker("w", 1);
     back.running = vec![run("a", 1)];
@@ -216,8 +218,8 @@
 
 #[test]
 fn a_new_leader_honours_the_grants_of_the_old() {
-    // Control changes its leader just after a grant. The new leader has never heard the worker;
-    // it must wait one full lease from its own beginning before it gives the task to another.
+    // The leader changes just after a grant. The new leader has had no poll of the worker, so it
+    // must wait one full lease from its election before it starts the task elsewhere.
     let mut leader = Leader::new();
     leader.poll(&worker("w", 1));
     leader.submit("a", "sum");
@@ -228,7 +230,7 @@
     leader.poll(&worker("v", 1));
     leader.pass(LEASE - Duration::from_millis(1));
     assert_eq!(starts(&leader.poll(&worker("v", 1))), []);
-    leader.pass(over() - LEASE);
+    leader.pass(expiry() - LEASE);
     leader.poll(&worker("v", 1));
     leader.pass(Duration::from_millis(2));
     assert_eq!(starts(&leader.poll(&worker("v", 1))), [run("a", 2)]);
@@ -236,13 +238,13 @@
 
 #[test]
 fn a_pause_of_control_over_a_lease_grants_nothing_late() {
-    // Control is paused past the end of a worker's lease. When it wakes, the worker's poll waits
-    // in its queue. The lease is declared over first; the poll then joins anew without the run.
+    // Control is paused until after a worker's lease has expired, with a poll of that worker
+    // waiting in its queue. The lease must expire first; the poll then joins without the run.
     let mut leader = Leader::new();
     leader.poll(&worker("w", 1));
     leader.submit("a", "plan");
     leader.poll(&worker("w", 1));
-    leader.pass(over());
+    leader.pass(expiry());
     let mut poll = worker("w", 1);
     poll.running = vec![run("a", 1)];
     let answer = leader.poll(&poll);
@@ -251,23 +253,23 @@
 
 #[test]
 fn a_restarted_worker_waits_for_its_predecessors_lease() {
-    // A second process announces itself under the name of a worker that may only be paused. It
-    // gets no lease and no task until the first one's lease has ended.
+    // A second process polls under the name of a worker that may only be paused. It must get no
+    // lease and no task until the lease of the first one has expired.
     let mut leader = Leader::new();
     leader.poll(&worker("w", 1));
     leader.submit("a", "sum");
     leader.poll(&worker("w", 1));
     let refused = leader.poll(&worker("w", 2));
     assert_eq!(refused, WorkerTasks::default());
-    leader.pass(over());
+    leader.pass(expiry());
     let tasks = leader.poll(&worker("w", 2));
     assert_eq!((starts(&tasks), tasks.lease), (vec![run("a", 2)], LEASE));
 }
 
 #[test]
-fn a_cancelled_start_is_told_with_its_stop() {
-    // A job is cancelled between its start in the log and the worker's poll. The worker is told
-    // both at once, and its word that nothing began ends the run.
+fn a_cancelled_start_is_sent_with_its_stop() {
+    // A job is cancelled between the commit of its start and the worker's poll. The worker gets
+    // both in one answer, and its report that the run never started ends the run.
     let mut leader = Leader::new();
     leader.poll(&worker("w", 1));
     leader.submit("a", "plan");
@@ -277,12 +279,12 @@
     });
     let answer = leader.poll(&worker("w", 1));
     assert_eq!(answer.stop.len(), 1);
-    let mut told = worker("w", 1);
-    told.ended = vec![EndedRun {
+    let mut reported = worker("w", 1);
+    reported.ended = vec![EndedRun {
         run: run("a", 1),
         end: RunEnd::NeverStarted,
     }];
-    leader.poll(&told);
+    leader.poll(&reported);
     assert_eq!(leader.phase("a"), JobPhase::Cancelled);
 }
 
@@ -309,8 +311,8 @@
 
 #[test]
 fn a_list_that_did_not_change_is_left_out() {
-    // A worker sends its list of runs once and leaves it out of later polls. A new leader does
-    // not hold the list: it stops and starts nothing on account of it, and asks for the list.
+    // A worker sends its list of runs once and leaves it out of later polls. A new leader doesn't
+    // have the list: it must neither start nor stop anything, and must request the list.
     let mut leader = Leader::new();
     leader.poll(&worker("w", 1));
     leader.submit("a", "sum");
@@ -336,9 +338,9 @@
 }
 
 #[test]
-fn an_overtaken_poll_is_not_believed() {
-    // A worker's first poll is delayed on its way. Its second one reports a run; then the first
-    // arrives with a list from before. It gets neither lease nor tasks.
+fn an_overtaken_poll_gets_no_lease() {
+    // A worker's first poll is delayed and arrives after its second one, with an outdated list of
+    // runs. It must get neither a lease nor tasks.
     let mut leader = Leader::new();
     let mut later = worker("w", 1);
     later.sequence = 2;
@@ -376,8 +378,8 @@
 
 #[test]
 fn a_restarted_entry_host_waits_for_its_predecessors_lease() {
-    // The old process may be paused with requests in flight at its minions. The new one gets no
-    // lease, and so sends nothing to them, until the old one's has ended.
+    // The old process may be paused with requests in flight at its minions. The new one must get
+    // no lease, and so send them nothing, until the lease of the old one has expired.
     let mut leader = Leader::new();
     assert_eq!(renew(&mut leader, 1), Some(ENTRY_LEASE));
     assert_eq!(renew(&mut leader, 2), None);
@@ -388,8 +390,8 @@
 
 #[test]
 fn late_starts_burn_the_budget_through_a_change_of_leaders() {
-    // Two jobs start, one of them late. The leader hands its counts to the log, another takes
-    // over, and the report still shows both.
+    // Two jobs start, one of them late, and the leader writes its counts to the log. After a
+    // change of leader the report must still contain both.
     let mut leader = Leader::new();
     let mut document = (*leader.machine.cell().document()).clone();
     document.objectives.push(Objective {
--- a/tests/process_control.rs
+++ b/tests/process_control.rs
@@ -1,4 +1,5 @@
-//! Control replicas as real processes: operators, elections, lost and repaired replicas.
+//! Control replicas as real processes: concurrent operators, elections, lost and replaced
+//! replicas.
 
 mod cell;
 
@@ -9,24 +10,24 @@
 use rstest::rstest;
 use yuccahold::fault::{Direction, Fault, TcpProxy};
 
-fn three() -> Shape {
+fn three_replicas() -> Shape {
     Shape {
         replicas: 3,
         ..Shape::default()
     }
 }
 
-/// The document with another key retention, as a change that is easy to tell.
+/// The document with another key retention, as a change that can be recognized.
 fn changed(hours: u64) -> String {
     format!("{DOCUMENT}  key_retention: {hours} h\n")
 }
 
 #[tokio::test]
 async fn of_two_operators_under_one_revision_one_wins() {
-    // Two operators edit revision 1 and send their changes to different replicas at the same
-    // time. One gets revision 2; the other is refused and shown the change that won. Nothing of
-    // the loser's change is ever in force.
-    let env = TestEnv::start("two-operators", three()).await;
+    // Two operators change the same revision through different replicas at the same time. One
+    // must be accepted; the other must be refused with the accepted text, and no part of its
+    // change may come into force.
+    let env = TestEnv::start("two-operators", three_replicas()).await;
     for round in 0..5 {
         let (base, _) = env.settled_document().await;
         let texts = [changed(100 + round), changed(200 + round)];
@@ -52,10 +53,10 @@
 
 #[tokio::test]
 async fn a_resend_after_a_lost_answer_gets_the_first_answer() {
-    // The operator's change is accepted but the answer is lost on the way back. The operator
-    // sends it again under the same key, now through another replica, and after a change of
-    // leader. It is not refused as stale, and it makes no second revision.
-    let mut env = TestEnv::start("lost-answer", three()).await;
+    // A change is accepted but its answer is lost. The operator resends it under the same key
+    // through another replica, after a change of leader. The resend must neither be refused as
+    // stale nor create a second revision.
+    let mut env = TestEnv::start("lost-answer", three_replicas()).await;
     let leader = env.leader().await.unwrap();
     let proxy = TcpProxy::start(env.replicas[leader].http, 1).await.unwrap();
     proxy.apply(Fault::Truncate {
@@ -80,9 +81,9 @@
     assert_eq!(env.settled_document().await.0, 2);
 }
 
-/// What happens to the leader.
+/// Failure of the leader.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Blow {
+enum Failure {
     Killed,
     Paused,
     SilentOutwards,
@@ -90,8 +91,8 @@
     SilentBothWays,
 }
 
-/// Carries out a blow on replica `n` (from 0).
-fn strike(env: &mut TestEnv, n: usize, blow: Blow) {
+/// Injects a failure into replica `n` (from 0).
+fn inject(env: &mut TestEnv, n: usize, failure: Failure) {
     let name = env.replicas[n].name.clone();
     let others: Vec<_> = env
         .replicas
@@ -100,24 +101,24 @@
         .map(|d| d.name.clone())
         .collect();
     for other in others.iter().filter(|other| **other != name) {
-        match blow {
-            Blow::SilentOutwards => env.net.silence(&name, other),
-            Blow::SilentInwards => env.net.silence(other, &name),
-            Blow::SilentBothWays => {
+        match failure {
+            Failure::SilentOutwards => env.net.silence(&name, other),
+            Failure::SilentInwards => env.net.silence(other, &name),
+            Failure::SilentBothWays => {
                 env.net
                     .between(&name, other, Fault::Silence(Direction::Both));
             }
-            Blow::Killed | Blow::Paused => {}
+            Failure::Killed | Failure::Paused => {}
         }
     }
-    match blow {
-        Blow::Killed => env.replicas[n].kill(),
-        Blow::Paused => env.replicas[n].pause(),
+    match failure {
+        Failure::Killed => env.replicas[n].kill(),
+        Failure::Paused => env.replicas[n].pause(),
         _ => {}
     }
 }
 
-fn recover(env: &mut TestEnv, n: usize, blow: Blow) {
+fn recover(env: &mut TestEnv, n: usize, failure: Failure) {
     let name = env.replicas[n].name.clone();
     let others: Vec<_> = env
         .replicas
@@ -125,9 +126,9 @@
         .chain(&env.entries)
         .map(|d| d.name.clone())
         .collect();
-    match blow {
-        Blow::Killed => env.replicas[n].start(&[]),
-        Blow::Paused => env.replicas[n].resume(),
+    match failure {
+        Failure::Killed => env.replicas[n].start(&[]),
+        Failure::Paused => env.replicas[n].resume(),
         _ => others
             .iter()
             .for_each(|other| env.net.between(&name, other, Fault::Reopen)),
@@ -135,23 +136,23 @@
 }
 
 #[rstest]
-#[case::killed(Blow::Killed)]
-#[case::paused_and_woken(Blow::Paused)]
-#[case::silent_outwards(Blow::SilentOutwards)]
-#[case::silent_inwards(Blow::SilentInwards)]
-#[case::silent_both_ways(Blow::SilentBothWays)]
+#[case::killed(Failure::Killed)]
+#[case::paused_and_woken(Failure::Paused)]
+#[case::silent_outwards(Failure::SilentOutwards)]
+#[case::silent_inwards(Failure::SilentInwards)]
+#[case::silent_both_ways(Failure::SilentBothWays)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn work_goes_on_when_the_leader_is_lost(#[case] blow: Blow) {
-    // Callers submit jobs while the leader dies, pauses, or is cut off without a word in one
-    // direction or both. The others elect a new one, which honours the old one's leases. The old
-    // leader comes back and must not act on what it believed: every job accepted is done, every
-    // task finished exactly once, and a change made meanwhile stays.
+async fn work_goes_on_when_the_leader_is_lost(#[case] failure: Failure) {
+    // Callers submit jobs while the leader is killed, paused, or silently cut off in one direction
+    // or both. The new leader must honour the leases of the old one, and the old leader must not
+    // act on its outdated state when it returns: every accepted job is done, every task finishes
+    // exactly once, and a change made in between stays.
     let shape = Shape {
         entries: 2,
         workers: 4,
-        ..three()
+        ..three_replicas()
     };
-    let mut env = TestEnv::start(&format!("leader-lost-{blow:?}"), shape).await;
+    let mut env = TestEnv::start(&format!("leader-lost-{failure:?}"), shape).await;
     let mut names = Vec::new();
     let mut submit = async |env: &TestEnv, part: &str| {
         for n in 0..8 {
@@ -163,7 +164,7 @@
     };
     submit(&env, "before").await;
     let leader = env.leader().await.unwrap();
-    strike(&mut env, leader, blow);
+    inject(&mut env, leader, failure);
     submit(&env, "meanwhile").await;
     let mut put = None;
     until("a change while the leader is lost", async || {
@@ -179,7 +180,7 @@
         false
     })
     .await;
-    recover(&mut env, leader, blow);
+    recover(&mut env, leader, failure);
     submit(&env, "after").await;
     env.check_done(&names).await;
     let (revision, text) = env.settled_document().await;
@@ -187,7 +188,7 @@
     assert!(text.contains("73 h"), "{text}");
 }
 
-/// Numbers of the voters.
+/// Ids of the replicas that vote.
 async fn voters(env: &TestEnv) -> BTreeSet<u64> {
     let rows = env.table("replicas").await;
     let voters = rows.iter().filter(|row| row["role"] != "Learner");
@@ -196,14 +197,14 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_second_loss_right_after_a_repair_loses_nothing() {
-    // A replica loses its disk and comes back as a new one. It must not vote as its old self: it
-    // learns the log, is promoted, and the old one is removed. At that very moment a second
-    // replica dies for good. The one left and the repaired one still hold all that was accepted.
+    // A replica loses its disk and returns as a new one. It must not vote under its old id: it
+    // receives the log as a learner, is promoted, and the old id is removed. Right then a second
+    // replica is lost for good. The remaining two must still have everything that was accepted.
     let shape = Shape {
         entries: 1,
         workers: 2,
         control: "replace_after: 2 s\n".to_owned(),
-        ..three()
+        ..three_replicas()
     };
     let mut env = TestEnv::start("second-loss", shape).await;
     let names: Vec<_> = (0..6).map(|n| format!("job-{n}")).collect();
@@ -225,8 +226,8 @@
     assert_eq!(env.put_document(&changed(97), 1).await, Ok(2));
     env.check_done(&names).await;
 
-    // The leader dies too; its disk is not lost. Nothing can be accepted until it is back, and
-    // then all of it is still there.
+    // The leader is killed too, but keeps its disk. Nothing can be accepted until it is back; then
+    // everything accepted must still be there.
     env.replicas[leader].kill();
     env.replicas[leader].start(&[]);
     env.new_leader(None).await;
@@ -237,18 +238,18 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_replica_that_missed_five_hundred_changes_catches_up() {
-    // A replica is away while 500 changes pass and the log is cut behind them, so that it can
-    // only catch up by a snapshot. Then the one that had led all the time dies: the group goes on
-    // only if the returned replica truly holds the state.
+    // A replica is down during 500 changes, and the log is truncated after them, so it can only
+    // catch up from a snapshot. Then the leader is killed: the group can continue only if the
+    // returned replica has the complete state.
     let shape = Shape {
         control: "snapshot_bytes: 64 KiB\n".to_owned(),
-        ..three()
+        ..three_replicas()
     };
     let mut env = TestEnv::start("five-hundred", shape).await;
     let leader = env.leader().await.unwrap();
-    let away = (leader + 1) % 3;
+    let lagging = (leader + 1) % 3;
     let other = (leader + 2) % 3;
-    env.replicas[away].kill();
+    env.replicas[lagging].kill();
     let addr = env.replicas[leader].http;
     for revision in 1..=500 {
         let text = changed(24 + revision % 50);
@@ -257,8 +258,8 @@
             .await;
         assert_eq!(put, Ok(revision + 1));
     }
-    env.replicas[away].start(&[]);
-    // The other goes: from here on nothing is agreed without the returned replica.
+    env.replicas[lagging].start(&[]);
+    // Without the third replica nothing can be committed unless the returned one takes part.
     env.replicas[other].kill();
     assert_eq!(env.put_document(&changed(99), 501).await, Ok(502));
     env.replicas[leader].kill();
@@ -271,12 +272,12 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_rolling_restart_of_all_replicas_loses_nothing() {
-    // Operators restart the replicas one after the other, each by the planned stop, while jobs
-    // arrive. Callers see a short wait at most.
+    // Operators restart the replicas one by one with a planned stop while jobs are submitted. Every
+    // job must be accepted and done.
     let shape = Shape {
         entries: 2,
         workers: 4,
-        ..three()
+        ..three_replicas()
     };
     let mut env = TestEnv::start("rolling-control", shape).await;
     let mut names = Vec::new();
@@ -299,12 +300,12 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_restarted_entry_host_takes_no_document_from_a_replica_that_is_cut_off() {
-    // The leader is cut off from the other replicas without a word; they elect another and accept
-    // a change. An entry host restarts and reaches only the old leader. It must not serve the old
-    // document as the one in force: it stays not ready until it reaches the others.
+    // The leader is silently cut off from the other replicas, which elect another and accept a
+    // change. An entry host restarts and reaches only the old leader. It must not serve the
+    // outdated document, so it must stay not ready until it reaches the other replicas.
     let shape = Shape {
         entries: 1,
-        ..three()
+        ..three_replicas()
     };
     let mut env = TestEnv::start("cut-off-document", shape).await;
     let old = env.leader().await.unwrap();
