--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -75,8 +75,8 @@
             return None;
         }
         leader.balanced_at = now;
-        let minions = minions_to_move(&self.cell);
-        (!minions.is_empty()).then_some(Command::MoveMinions(minions))
+        let moved = minions_to_move(&self.cell);
+        (!moved.is_empty()).then_some(Command::MoveMinions(moved))
     }
 }
 
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,33 +1,33 @@
-//! The crate's error: what failed, at which step, with which peer.
+//! The crate's error type.
 
 use std::fmt;
 
 use compact_str::CompactString;
 
-/// The step of work at which an error arose.
+/// Operation during which an error occurred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Step {
-    /// Reading or checking a settings file.
+    /// Reading or validating a settings file.
     Settings,
-    /// Reading or checking a document.
+    /// Reading or validating a document.
     Document,
-    /// Binding or accepting on a listening address.
+    /// Binding a listening address or accepting connections on it.
     Listen,
     /// Opening a connection.
     Connect,
-    /// Proving membership of the cell on a new connection.
+    /// Authenticating a new connection with the cell key.
     Handshake,
     /// Reading or writing frames on an open connection.
     Transfer,
     /// Encoding or decoding a message.
     Codec,
-    /// Reading or writing files of the data folder.
+    /// Reading or writing files in the data folder.
     Storage,
-    /// Getting an entry agreed by the replicas.
+    /// Committing an entry to the replicated log.
     Replicate,
-    /// Applying a command to the cell's state.
+    /// Applying a command to the replicated state.
     Apply,
-    /// Routing a request to a minion.
+    /// Choosing a minion for a request.
     Route,
     /// Replaying a trace.
     Replay,
@@ -56,23 +56,23 @@
     }
 }
 
-/// An error with the step and, where there is one, the peer at which it arose.
+/// An error with the operation that failed and, where there is one, the peer or file involved.
 #[derive(Debug, thiserror::Error, miette::Diagnostic)]
 #[error("{step}{}: {message}", peer.as_ref().map(|p| format!(" with {p}")).unwrap_or_default())]
 pub struct Error {
-    /// Where it arose.
+    /// Operation that failed.
     pub step: Step,
-    /// Address or name of the other side, or the file.
+    /// Address or name of the other side, or path of the file.
     pub peer: Option<CompactString>,
-    /// What happened, in a plain sentence.
+    /// Description of the failure, including the text of `source`.
     pub message: String,
-    /// The error beneath, if any.
+    /// Underlying error, if any.
     #[source]
     pub source: Option<Box<dyn std::error::Error + Send + Sync>>,
 }
 
 impl Error {
-    /// An error of this process alone.
+    /// Creates an error without peer and source.
     pub fn new(step: Step, message: impl Into<String>) -> Self {
         Self {
             step,
@@ -82,14 +82,14 @@
         }
     }
 
-    /// Names the other side.
+    /// Sets the peer or file.
     #[must_use]
     pub fn with_peer(mut self, peer: impl fmt::Display) -> Self {
         self.peer = Some(CompactString::from(peer.to_string()));
         self
     }
 
-    /// Keeps the error beneath and adds its text to the message.
+    /// Creates an error from an underlying one, whose text is appended to the message.
     pub fn caused(
         step: Step,
         message: impl fmt::Display,
@@ -105,5 +105,5 @@
     }
 }
 
-/// Result with the crate's error.
+/// Result with the crate's error type by default.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
--- a/src/exit_codes.rs
+++ b/src/exit_codes.rs
@@ -1,24 +1,25 @@
-//! Exit codes of every program of this crate.
+//! Exit codes of all programs of this crate.
 
-/// What a process tells its caller when it ends.
+/// Exit code of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitCode {
-    /// All done.
+    /// The command succeeded.
     Success = 0,
-    /// Something failed that is none of the cases below.
+    /// A failure that none of the other codes covers.
     GeneralError = 1,
-    /// The command line could not be understood.
+    /// The command line is invalid, or a confirmation is required but input is not a terminal.
     Usage = 2,
-    /// A document or settings file was refused.
+    /// A document or settings file is invalid.
     Invalid = 3,
-    /// A stated outcome of a replay or a comparison was not met.
+    /// An expected outcome was not met: of a replay or comparison, or of a watched job that did not
+    /// end as done.
     OutcomeMissed = 4,
-    /// The document was changed by someone else meanwhile.
+    /// The document was changed by another operator since it was read.
     Conflict = 5,
     /// No control replica or entry host could be reached in time.
     Unavailable = 6,
-    /// Ended by an interrupt (128 + SIGINT).
+    /// Ended by SIGINT (128 + 2), or a confirmation was answered with no.
     Interrupted = 130,
 }
 
@@ -29,7 +30,7 @@
 }
 
 impl ExitCode {
-    /// All codes.
+    /// All codes, in ascending order.
     pub const ALL: [Self; 8] = [
         Self::Success,
         Self::GeneralError,
@@ -41,7 +42,7 @@
         Self::Interrupted,
     ];
 
-    /// What the code tells a caller.
+    /// Description of the code for the reference page.
     pub fn meaning(self) -> &'static str {
         match self {
             Self::Success => "All done.",
@@ -60,7 +61,7 @@
     }
 }
 
-/// The whole of docs/EXIT_CODES.md.
+/// Content of docs/EXIT_CODES.md; a test compares the file with it.
 pub fn reference() -> String {
     let row = |code: &ExitCode| format!("| {} | {} |\n", *code as u8, code.meaning());
     let rows: String = ExitCode::ALL.iter().map(row).collect();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! A cluster scheduler for unlike workloads on one shared cell of mixed hardware.
+//! A cluster scheduler that runs batch jobs, long-running services and short requests on one
+//! cell of mixed hardware.
 //!
-//! The library holds every decision as a pure state machine: an event and the present time go
-//! in, effects come out. The daemons under `src/bin` and the command line only add I/O.
-//! This module lists what is public.
+//! Decisions are made by state machines without I/O: their input is an event and the present
+//! time, their output the resulting effects. The daemons under `src/bin` and the command line add
+//! the I/O.
 
 pub mod batch;
 pub mod cli;
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -1,29 +1,29 @@
-//! Amounts of processor, memory and accelerators, and the arithmetic of fitting them.
+//! Amounts of CPU, memory and accelerators, and their arithmetic.
 
 use serde::{Deserialize, Serialize};
 
-/// Whole units of what a task needs or a worker holds.
+/// Resources that a task needs, or that a worker or quota has.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Resources {
-    /// Thousandths of a processor core.
+    /// CPU in thousandths of a core.
     pub millicores: u32,
     /// Memory in megabytes (10^6 bytes).
     pub memory_mb: u32,
-    /// Whole accelerators, all of one type.
+    /// Number of accelerators, all of one type.
     pub accelerators: u32,
 }
 
 impl Resources {
-    /// Nothing of anything.
+    /// Zero of each resource.
     pub const ZERO: Self = Self {
         millicores: 0,
         memory_mb: 0,
         accelerators: 0,
     };
 
-    /// Makes an amount from whole cores, megabytes and accelerators.
+    /// Creates an amount from whole cores, megabytes and accelerators.
     pub const fn new(cores: u32, memory_mb: u32, accelerators: u32) -> Self {
         Self {
             millicores: cores * 1000,
@@ -32,24 +32,25 @@
         }
     }
 
-    /// Says whether this amount can be taken out of `free` without overfilling it.
+    /// Whether every resource is at most that of `free`.
     pub const fn fits_in(&self, free: &Self) -> bool {
         self.millicores <= free.millicores
             && self.memory_mb <= free.memory_mb
             && self.accelerators <= free.accelerators
     }
 
-    /// Says how many times this amount fits into a room; without end when it is nothing.
-    pub fn times_in(&self, room: &Self) -> u32 {
-        let part = |need: u32, room: u32| room.checked_div(need).unwrap_or(u32::MAX);
-        part(self.millicores, room.millicores)
-            .min(part(self.memory_mb, room.memory_mb))
-            .min(part(self.accelerators, room.accelerators))
+    /// How many times this amount fits into `free`; `u32::MAX` if it is zero.
+    pub fn times_in(&self, free: &Self) -> u32 {
+        let times = |need: u32, free: u32| free.checked_div(need).unwrap_or(u32::MAX);
+        times(self.millicores, free.millicores)
+            .min(times(self.memory_mb, free.memory_mb))
+            .min(times(self.accelerators, free.accelerators))
     }
 
-    /// The part that this amount takes of each unit of a capacity: processors, memory, accelerators.
+    /// This amount as fractions of a capacity, in the order CPU, memory, accelerators. A capacity of
+    /// zero counts as one unit.
     pub fn shares(&self, capacity: &Self) -> [f64; 3] {
-        let share = |some: u32, all: u32| f64::from(some) / f64::from(all.max(1));
+        let share = |used: u32, total: u32| f64::from(used) / f64::from(total.max(1));
         [
             share(self.millicores, capacity.millicores),
             share(self.memory_mb, capacity.memory_mb),
@@ -57,12 +58,12 @@
         ]
     }
 
-    /// The largest part that this amount takes of any unit of a capacity.
+    /// The largest of the [`shares`](Self::shares) of a capacity, as in dominant resource fairness.
     pub fn dominant_share(&self, capacity: &Self) -> f64 {
         self.shares(capacity).into_iter().fold(0.0, f64::max)
     }
 
-    /// Adds each unit, up to the largest amount there is.
+    /// Adds each resource, saturating at `u32::MAX`.
     pub const fn saturating_add(&self, other: &Self) -> Self {
         Self {
             millicores: self.millicores.saturating_add(other.millicores),
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Subtracts each unit, down to zero.
+    /// Subtracts each resource, saturating at zero.
     pub const fn saturating_sub(&self, other: &Self) -> Self {
         Self {
             millicores: self.millicores.saturating_sub(other.millicores),
@@ -80,17 +81,17 @@
         }
     }
 
-    /// A part of each unit, rounded down.
-    pub fn part(&self, part: f64) -> Self {
-        let of = |unit: u32| (f64::from(unit) * part) as u32;
+    /// Multiplies each resource by a fraction, rounding down.
+    pub fn part(&self, fraction: f64) -> Self {
+        let scaled = |amount: u32| (f64::from(amount) * fraction) as u32;
         Self {
-            millicores: of(self.millicores),
-            memory_mb: of(self.memory_mb),
-            accelerators: of(self.accelerators),
+            millicores: scaled(self.millicores),
+            memory_mb: scaled(self.memory_mb),
+            accelerators: scaled(self.accelerators),
         }
     }
 
-    /// Adds each unit, or nothing if one would overflow.
+    /// Adds each resource; `None` if one overflows.
     pub fn checked_add(&self, other: &Self) -> Option<Self> {
         Some(Self {
             millicores: self.millicores.checked_add(other.millicores)?,
@@ -99,7 +100,7 @@
         })
     }
 
-    /// Subtracts each unit, or nothing if one would go below zero.
+    /// Subtracts each resource; `None` if one would go below zero.
     pub fn checked_sub(&self, other: &Self) -> Option<Self> {
         Some(Self {
             millicores: self.millicores.checked_sub(other.millicores)?,
@@ -108,7 +109,7 @@
         })
     }
 
-    /// Multiplies each unit by a number of tasks, up to the largest amount there is.
+    /// Multiplies each resource by a number of tasks, saturating at `u32::MAX`.
     pub const fn saturating_mul(&self, n: u32) -> Self {
         Self {
             millicores: self.millicores.saturating_mul(n),
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Multiplies each unit by a number of tasks, or nothing on overflow.
+    /// Multiplies each resource by a number of tasks; `None` if one overflows.
     pub fn checked_mul(&self, n: u32) -> Option<Self> {
         Some(Self {
             millicores: self.millicores.checked_mul(n)?,
--- a/src/task.rs
+++ b/src/task.rs
@@ -1,11 +1,11 @@
-//! Tasks that end with their owner.
+//! Tokio tasks that are aborted when their owner is dropped.
 
 use tokio::task::JoinHandle;
 
-/// Ends a task when it is dropped.
+/// Aborts a task when dropped.
 ///
-/// A reader in a task of its own would otherwise outlive the connection that it reads for, and
-/// keep its socket open.
+/// Without this, the task that reads from a connection would outlive the connection's owner and
+/// keep the socket open.
 pub(crate) struct AbortOnDrop(pub(crate) JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
--- a/src/workload.rs
+++ b/src/workload.rs
@@ -1,4 +1,4 @@
-//! Jobs, tasks and workers as every decision sees them.
+//! Definitions of jobs, tasks, runs and workers, shared by all modules.
 
 use std::time::Duration;
 
@@ -10,35 +10,35 @@
 };
 use crate::resources::Resources;
 
-/// How a job's tasks live and start.
+/// Class of a job: how its tasks start and whether they end.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum WorkClass {
-    /// Tasks that each end by themselves and may start one by one.
+    /// Tasks that end by themselves and may start independently.
     #[default]
     Batch,
-    /// Tasks that start all together or not at all.
+    /// Tasks that end by themselves and start all together or not at all.
     Gang,
-    /// Long-running tasks kept at their count.
+    /// Long-running tasks; an ended one is replaced to keep their number.
     Service,
-    /// A long-running task of which at most one runs at any time.
+    /// A long-running task that must never run twice at the same time.
     Watcher,
 }
 
-/// Priority band; a later band may preempt an earlier one.
+/// Priority band, in ascending order; a higher band may preempt a lower one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum Band {
-    /// Uses what is left over.
+    /// Runs only on otherwise unused capacity.
     Spare,
-    /// Ordinary work.
+    /// Work without special urgency.
     #[default]
     Normal,
-    /// Work that others wait for, such as services.
+    /// Work that other work depends on, such as services.
     High,
-    /// Must start within seconds, also in a full cell.
+    /// Must start within seconds even when the cell is full.
     Urgent,
 }
 
@@ -48,44 +48,44 @@
     /// No preference.
     #[default]
     None,
-    /// As few tasks as possible in one worker.
+    /// As few tasks as possible on the same worker.
     Worker,
-    /// As few tasks as possible in one rack.
+    /// As few tasks as possible in the same rack.
     Rack,
-    /// As few tasks as possible in one availability zone.
+    /// As few tasks as possible in the same availability zone.
     Zone,
 }
 
-/// What happens to a gang when one of its tasks loses its worker.
+/// Policy for a gang when one of its tasks loses its worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MemberLoss {
-    /// Stop the others and start all again.
+    /// Stop the other tasks and start all again.
     #[default]
     RestartAll,
     /// Start a replacement for the lost task only.
     Replace,
-    /// Stop the others and fail the job.
+    /// Stop the other tasks and fail the job.
     Fail,
 }
 
-/// Everything the scheduler needs to know about a job.
+/// Specification of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Unique name.
+    /// Name, unique in the cell.
     pub name: JobName,
-    /// Kind declared in the document; estimates are learnt per kind.
+    /// Kind declared in the document; run times and usage are estimated per kind.
     pub kind: KindName,
     /// Team whose quota is charged.
     pub team: TeamName,
-    /// How the tasks live and start.
+    /// How the tasks start and whether they end.
     pub class: WorkClass,
     /// Priority band.
     pub band: Band,
     /// Number of tasks.
     pub tasks: u32,
-    /// Declared need of one task.
+    /// Declared resources of one task.
     pub need: Resources,
-    /// Accelerator type required; any type when absent.
+    /// Required accelerator type; any type when absent.
     pub accelerator: Option<AcceleratorName>,
     /// Declared run time of one task; zero for long-running classes.
     pub run_time: Duration,
@@ -93,64 +93,64 @@
     pub idempotent: bool,
     /// Whether a task can be checkpointed and resumed.
     pub checkpoint: bool,
-    /// Starts allowed for one task before the job fails.
+    /// Maximum number of starts of one task before the job fails.
     pub max_attempts: u32,
     /// Failure domain to spread over.
     pub spread: Spread,
-    /// Availability zones allowed; all when empty.
+    /// Allowed availability zones; all when empty.
     pub zones: Vec<ZoneName>,
-    /// Rule for a gang that loses a worker.
+    /// Policy when a gang loses a worker.
     pub on_member_loss: MemberLoss,
-    /// Tasks that may be away at once during an update or drain of a service.
+    /// Maximum number of a service's tasks that may be down at once during an update or drain.
     pub max_unavailable: u32,
-    /// Opaque text handed to the worker.
+    /// Text passed to the worker without interpretation.
     pub payload: CompactString,
 }
 
-/// A worker as it announces itself.
+/// Specification of a worker, as it reports it in its polls.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerSpec {
-    /// Unique name.
+    /// Name, unique in the cell.
     pub id: WorkerId,
     /// Availability zone.
     pub zone: ZoneName,
     /// Rack within the zone.
     pub rack: RackName,
-    /// What the worker holds in all.
+    /// Total resources.
     pub capacity: Resources,
     /// Type of its accelerators, if it has any.
     pub accelerator: Option<AcceleratorName>,
 }
 
-/// One task of a job.
+/// Identifies one task of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskId {
-    /// The job.
+    /// Name of the job.
     pub job: JobName,
-    /// Position in the job.
+    /// Position within the job, starting at 0.
     pub index: TaskIndex,
 }
 
-/// One start of one task; a worker refuses attempts older than it has seen.
+/// Identifies one start of a task; a worker refuses attempts older than the latest it has seen.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskRun {
-    /// The task.
+    /// Task that was started.
     pub task: TaskId,
-    /// Number of the start.
+    /// Number of the start, also its fencing token.
     pub attempt: Attempt,
 }
 
-/// How a task's run ended, as its worker reports it.
+/// How a run ended, as reported by its worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RunEnd {
-    /// Finished its work.
+    /// Completed its work.
     Done,
-    /// Ended with a failure of its own.
+    /// Ended by itself with a failure.
     Failed,
     /// Saved its state and stopped on request.
     Checkpointed,
-    /// Stopped on request without saving.
+    /// Stopped on request without saving its state.
     Stopped,
-    /// The worker proves that it never began.
+    /// Never started; the worker is certain of it.
     NeverStarted,
 }
--- a/tests/cell/daemon.rs
+++ b/tests/cell/daemon.rs
@@ -1,4 +1,4 @@
-//! One real process: started, stopped, paused and killed by its id.
+//! A daemon under test as a real process: start, planned stop, pause and kill.
 
 use std::fs::File;
 use std::net::{SocketAddr, TcpListener};
@@ -12,17 +12,17 @@
 use super::net::Pids;
 use super::until;
 
-/// First port of the range in which free ports are looked for, below the system's own range.
+/// Start of the range searched for free ports, below the system's ephemeral ports.
 const FIRST_PORT: u16 = 20_000;
-const PORTS: u16 = 12_000;
+const PORT_COUNT: u16 = 12_000;
 
-/// A port that is free now, at a loopback address of this process alone: a test of another
-/// process cannot take it before the daemon does.
+/// Returns an address with a free port, on a loopback address that only this process uses, so that
+/// a test in another process can't take the port before the daemon binds it.
 pub fn free_addr() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let [_, a, b, c] = std::process::id().to_be_bytes();
     loop {
-        let port = FIRST_PORT + NEXT.fetch_add(1, Ordering::Relaxed) % PORTS;
+        let port = FIRST_PORT + NEXT.fetch_add(1, Ordering::Relaxed) % PORT_COUNT;
         let addr = SocketAddr::from(([127, 64 | a, b, c], port));
         if TcpListener::bind(addr).is_ok() {
             return addr;
@@ -30,7 +30,7 @@
     }
 }
 
-/// A daemon with its settings file and log.
+/// A daemon with its settings file and log; killed when dropped.
 pub struct Daemon {
     pub name: String,
     pub http: SocketAddr,
@@ -65,7 +65,7 @@
         std::fs::write(self.folder.join("settings.yaml"), text).unwrap();
     }
 
-    /// Starts the process; its log is added to the one of earlier starts.
+    /// Starts the process; its output is appended to the log of earlier starts.
     pub fn start(&mut self, args: &[&str]) {
         assert!(self.child.is_none(), "{} runs already", self.name);
         let log = File::options()
@@ -110,7 +110,7 @@
         self.paused = false;
     }
 
-    /// Ends the process at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().unwrap();
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The planned stop: asks for it and waits for the end.
+    /// Stops the process with SIGTERM and waits for its end.
     pub async fn stop(&mut self) -> ExitStatus {
         self.signal(Signal::TERM);
         let name = self.name.clone();
@@ -162,5 +162,6 @@
     }
 }
 
-/// Time for a process to come up or end, on a machine that is busy with other tests.
+/// Maximum time to wait for a condition, such as the start or end of a process, on a machine that
+/// is busy with other tests.
 pub const DEADLINE: Duration = Duration::from_secs(40);
--- a/tests/cell/joined.rs
+++ b/tests/cell/joined.rs
@@ -1,4 +1,4 @@
-//! When a cell that was started counts as joined.
+//! Waits for a started cell to be complete.
 
 use std::time::Duration;
 
@@ -8,9 +8,11 @@
 use super::{Daemon, TestEnv, until};
 
 impl TestEnv {
-    /// Waits until entry hosts are ready, every worker and minion is known and owned, and every
-    /// entry host knows the slots of all minions. Control knows owners before its feed has told
-    /// the entry hosts, and until then one of those rightly refuses: no minion is announced.
+    /// Waits until all entry hosts are ready, all workers have joined, every minion has an owner,
+    /// and every entry host has the slots of all minions.
+    ///
+    /// The last condition is needed because control assigns owners before the entry hosts receive
+    /// them with the feed; until then an entry host refuses requests because no minion is announced.
     pub async fn until_joined(&self) {
         until("the entry hosts to be ready", async || {
             let mut ready = true;
@@ -31,7 +33,7 @@
         self.until_known(slots).await;
     }
 
-    /// Waits until every entry host knows just so many slots.
+    /// Waits until every entry host has exactly this number of slots in its routing status.
     pub async fn until_known(&self, slots: u64) {
         until("every entry host to know all slots", async || {
             let mut known = true;
@@ -43,7 +45,7 @@
         .await;
     }
 
-    /// Slots of all services that an entry host knows, its own and its peers'.
+    /// Slots of all services in the routing status of an entry host, its own and its peers'.
     async fn known_slots(&self, entry: &Daemon) -> Option<u64> {
         let url = format!("http://{}/v1/routing", entry.http);
         let asked = self.client.get(url).timeout(Duration::from_secs(2)).send();
--- a/tests/cell/mod.rs
+++ b/tests/cell/mod.rs
@@ -1,7 +1,6 @@
-//! `TestEnv`: a cell of real processes on loopback, with fault proxies between its daemons and
-//! stand-in workers and minions in the test's own process.
-//!
-//! Nothing here waits for a fixed time: [`until`] asks again and again until a deadline.
+//! `TestEnv`: a cell whose daemons are real processes on loopback, with fault proxies between them
+//! and stand-in workers and minions in the test's own process. Nothing here waits for a fixed time:
+//! [`until`] polls a condition until a deadline.
 #![allow(dead_code)]
 
 mod daemon;
@@ -27,10 +26,10 @@
 pub use daemon::{DEADLINE, Daemon, free_addr};
 pub use net::Net;
 
-/// A document with short run times and a lease that outlasts every outage in these tests.
+/// A document with short run times and a lease longer than any outage in these tests.
 pub const DOCUMENT: &str = include_str!("document.yaml");
 
-/// Asks again until the condition holds, or fails after [`DEADLINE`].
+/// Polls a condition until it holds, and panics after [`DEADLINE`].
 pub async fn until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let end = Instant::now() + DEADLINE;
     while !condition().await {
@@ -39,7 +38,7 @@
     }
 }
 
-/// Size of a cell.
+/// Size and settings of a cell.
 #[derive(Clone)]
 pub struct Shape {
     pub replicas: usize,
@@ -47,15 +46,15 @@
     pub workers: usize,
     pub minions: usize,
     pub document: String,
-    /// Zones of replicas, entry hosts, workers and minions, in turn.
+    /// Availability zones, assigned round-robin to replicas, entry hosts, workers and minions.
     pub zones: Vec<String>,
-    /// Service that the minions answer.
+    /// Service whose requests the minions answer.
     pub service: String,
-    /// What each worker holds.
+    /// Resources of each worker.
     pub capacity: Resources,
-    /// How workers depart from what is declared.
+    /// Deviations of the workers from the declared run times and usage.
     pub behaviour: Behaviour,
-    /// Further lines in the settings of every replica.
+    /// Lines added to the settings of every replica.
     pub control: String,
 }
 
@@ -82,7 +81,7 @@
     }
 }
 
-/// Answer to a caller's request.
+/// Answer to a caller's request; `status` is 0 if there was none.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
     pub status: u16,
@@ -90,7 +89,7 @@
     pub body: Vec<u8>,
 }
 
-/// A running cell. Dropping it ends its processes; its folder stays when a test fails.
+/// A running cell. Dropping it kills its processes, and deletes its folder unless the test failed.
 pub struct TestEnv {
     pub replicas: Vec<Daemon>,
     pub entries: Vec<Daemon>,
@@ -143,18 +142,18 @@
     }
 
     async fn start_replicas(&mut self, shape: &Shape) -> Vec<SocketAddr> {
-        let mut ports = Vec::new();
+        let mut addrs = Vec::new();
         for n in 1..=shape.replicas {
             let name = format!("c{n}");
             let (calls, replica) = (free_addr(), free_addr());
-            let fronts = (
-                self.net.front(&name, calls).await,
-                self.net.front(&name, replica).await,
+            let proxies = (
+                self.net.add_proxy(&name, calls).await,
+                self.net.add_proxy(&name, replica).await,
             );
-            ports.push((name, calls, replica, fronts));
+            addrs.push((name, calls, replica, proxies));
         }
-        for (n, (name, calls, replica, fronts)) in ports.iter().enumerate() {
-            let others = ports.iter().filter(|other| other.0 != *name);
+        for (n, (name, calls, replica, proxies)) in addrs.iter().enumerate() {
+            let others = addrs.iter().filter(|other| other.0 != *name);
             let others: Vec<_> = others.map(|other| format!("\"{}\"", other.3.1)).collect();
             let daemon = self.daemon(name, env!("CARGO_BIN_EXE_yuccahold-control"));
             daemon.write_settings(&format!(
@@ -163,8 +162,8 @@
                  replicas: [{}]\nelection_timeout: 600 ms\nheartbeat: 100 ms\n{}",
                 shape.zone(n),
                 daemon.http,
-                fronts.0,
-                fronts.1,
+                proxies.0,
+                proxies.1,
                 others.join(", "),
                 shape.control
             ));
@@ -182,19 +181,19 @@
             self.voters().await == shape.replicas
         })
         .await;
-        ports.iter().map(|port| port.3.0).collect()
+        addrs.iter().map(|addr| addr.3.0).collect()
     }
 
     async fn start_entries(&mut self, shape: &Shape, calls: &[SocketAddr]) {
         for n in 1..=shape.entries {
             let name = format!("e{n}");
             let peer = free_addr();
-            let front = self.net.front(&name, peer).await;
+            let proxy = self.net.add_proxy(&name, peer).await;
             let calls: Vec<_> = calls.iter().map(|addr| format!("\"{addr}\"")).collect();
             let mut daemon = self.daemon(&name, env!("CARGO_BIN_EXE_yuccahold-entry"));
             daemon.write_settings(&format!(
                 "id: {name}\nzone: {}\ncell_key: ../cell.key\nlisten: {}\npeer_listen: {peer}\n\
-                 peer_advertise: {front}\ncontrol: [{}]\nstop_delay: 200 ms\nstop_grace: 10 s\n",
+                 peer_advertise: {proxy}\ncontrol: [{}]\nstop_delay: 200 ms\nstop_grace: 10 s\n",
                 shape.zone(n - 1),
                 daemon.http,
                 calls.join(", ")
@@ -233,7 +232,7 @@
         self.workers.insert(name.to_owned(), worker);
     }
 
-    /// Starts a minion that announces itself to all entry hosts in turn.
+    /// Starts a minion that announces itself to the entry hosts.
     pub async fn add_minion(&mut self, name: &str, behaviour: MinionBehaviour) {
         let n = self.minions.len();
         let options = MinionOptions {
@@ -257,7 +256,7 @@
             .is_ok_and(|answer| answer.status().is_success())
     }
 
-    /// The replica that leads and has confirmed it.
+    /// Index of the replica that reports itself as confirmed leader.
     pub async fn leader(&self) -> Option<usize> {
         for (n, replica) in self.replicas.iter().enumerate() {
             let url = format!("http://{}/healthz/ready", replica.http);
@@ -279,7 +278,7 @@
         None
     }
 
-    /// Waits for a leader other than `old`.
+    /// Waits for a leader other than `old` and returns its index.
     pub async fn new_leader(&self, old: Option<usize>) -> usize {
         let mut found = None;
         until("a new leader", async || {
@@ -297,7 +296,7 @@
             .count()
     }
 
-    /// A table of the operators' interface, from the first replica that answers.
+    /// Rows of a table of the operators' API, from the first replica that answers.
     pub async fn table(&self, name: &str) -> Vec<Value> {
         for replica in &self.replicas {
             let url = format!("http://{}/v1/{name}", replica.http);
@@ -315,8 +314,8 @@
         Vec::new()
     }
 
-    /// Puts a document over revision `base`; gives the new revision, or the status and body of
-    /// the refusal. Asks again while no replica leads, under one key.
+    /// Puts a document based on revision `base`. Returns the new revision, or the status and body
+    /// of the refusal. Resends under one key while no replica is the leader.
     pub async fn put_document(&self, text: &str, base: u64) -> Result<u64, (u16, String)> {
         let key: u64 = rand::random();
         let mut result = Err((0, String::new()));
@@ -335,7 +334,7 @@
         result
     }
 
-    /// Puts a document once, at one replica; status 0 means no answer.
+    /// Puts a document once at one replica; status 0 means that there was no answer.
     pub async fn put_once(
         &self,
         addr: SocketAddr,
@@ -358,28 +357,28 @@
         }
     }
 
-    /// Puts a document as operators are told to: while there is no answer, no leader or an
-    /// unknown outcome, the same is sent again under the same key.
-    pub async fn put_settled(
+    /// Puts a document as the operators' pages prescribe: it is resent under the same key while
+    /// there is no answer, no leader or an unknown outcome.
+    pub async fn put_until_final(
         &self,
         addr: SocketAddr,
         text: &str,
         base: u64,
         key: &str,
     ) -> Result<u64, (u16, String)> {
-        let mut settled = Err((0, String::new()));
-        until("a put to be settled", async || {
-            settled = self.put_once(addr, text, base, key).await;
-            !matches!(settled, Err((0 | 503 | 504, _)))
+        let mut result = Err((0, String::new()));
+        until("a final answer to a put", async || {
+            result = self.put_once(addr, text, base, key).await;
+            !matches!(result, Err((0 | 503 | 504, _)))
         })
         .await;
-        settled
+        result
     }
 
-    /// The document in force, asked for until a leader answers.
-    pub async fn settled_document(&self) -> (u64, String) {
+    /// Revision and text of the document in force; waits for a leader to answer.
+    pub async fn document_in_force(&self) -> (u64, String) {
         let mut found = None;
-        until("the document to be told", async || {
+        until("the document in force", async || {
             found = self.document().await;
             found.is_some()
         })
@@ -387,7 +386,7 @@
         found.unwrap_or_default()
     }
 
-    /// The document in force at a replica's view of the leader, with its revision.
+    /// Revision and text of the document in force, from the first replica that can answer.
     pub async fn document(&self) -> Option<(u64, String)> {
         for replica in &self.replicas {
             let url = format!("http://{}/v1/document", replica.http);
@@ -405,7 +404,7 @@
         None
     }
 
-    /// Submits a job under its name as key until it is accepted.
+    /// Submits a job with its name as key, and resends it until it is accepted.
     pub async fn submit(&self, name: &str, kind: &str) {
         let mut n = 0;
         until(&format!("job {name} to be accepted"), async || {
@@ -436,7 +435,7 @@
         None
     }
 
-    /// Waits until all jobs have ended and gives their last state.
+    /// Waits until all jobs have ended and returns their final views.
     pub async fn until_ended(&self, names: &[String]) -> Vec<JobView> {
         let mut views = Vec::new();
         let end = Instant::now() + DEADLINE;
@@ -467,8 +466,8 @@
         .await
     }
 
-    /// Checks what must always hold, from what workers and minions counted: nothing ran in two
-    /// places, no worker and no minion was overfilled.
+    /// Checks the counts of workers and minions: no task ran in two places at once, no worker
+    /// exceeded its capacity, no minion its slots and connections.
     pub fn check(&self) {
         let counts = self.ledger.counts();
         assert_eq!(counts.doubles, [], "tasks that ran in two places at once");
@@ -486,7 +485,7 @@
         }
     }
 
-    /// Checks that each of these jobs is done, and that each task finished exactly once.
+    /// Waits until these jobs are done, each task exactly once, and runs [`TestEnv::check`].
     pub async fn check_done(&self, names: &[String]) {
         let views = self.until_ended(names).await;
         for view in views {
@@ -520,7 +519,8 @@
     tag.trim_matches('"').parse().ok()
 }
 
-/// Sends one request to a service.
+/// Sends one request to a service; without a complete answer the outcome is `no-answer` or
+/// `cut-answer`.
 pub async fn ask(
     client: &reqwest::Client,
     entry: SocketAddr,
@@ -532,18 +532,18 @@
     for (name, value) in headers {
         req = req.header(*name, *value);
     }
-    let none = |outcome: &str| Answer {
+    let failure = |outcome: &str| Answer {
         status: 0,
         outcome: outcome.to_owned(),
         body: Vec::new(),
     };
     let Ok(answer) = req.send().await else {
-        return none("no-answer");
+        return failure("no-answer");
     };
     let status = answer.status().as_u16();
     let outcome = answer.headers().get("yuccahold-outcome").cloned();
     let Ok(body) = answer.bytes().await else {
-        return none("cut-answer");
+        return failure("cut-answer");
     };
     Answer {
         status,
--- a/tests/cell/net.rs
+++ b/tests/cell/net.rs
@@ -1,5 +1,5 @@
-//! The network between named daemons: every address that a daemon tells others is a fault
-//! proxy's, and the proxy knows which daemon opened a connection.
+//! The network between the daemons under test. Every address that a daemon advertises is that of a
+//! fault proxy, which identifies the daemon at the other end of each connection by its process id.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -17,22 +17,23 @@
         self.0.lock().unwrap().insert(pid, name.into());
     }
 
-    /// Names the daemon that holds the connection from one address to another.
+    /// Name of the daemon whose process holds the connection between two addresses.
     fn owner(&self, from: SocketAddr, to: SocketAddr) -> Option<CompactString> {
         let inode = inode_of(from, to)?;
-        let wanted = format!("socket:[{inode}]");
+        let socket = format!("socket:[{inode}]");
         let pids = self.0.lock().unwrap().clone();
         pids.into_iter().find_map(|(pid, name)| {
             let files = std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?;
             let mut links = files.filter_map(|file| std::fs::read_link(file.ok()?.path()).ok());
             links
-                .any(|link| link.as_os_str() == wanted.as_str())
+                .any(|link| link.as_os_str() == socket.as_str())
                 .then_some(name)
         })
     }
 }
 
-/// Both ends are matched: the system uses one local port for connections to several addresses.
+/// Inode of the socket with these two addresses. Both are compared, because the system may use one
+/// local port for connections to several addresses.
 fn inode_of(from: SocketAddr, to: SocketAddr) -> Option<u64> {
     let table = std::fs::read_to_string("/proc/net/tcp").ok()?;
     let ends = [from, to].map(|addr| match addr.ip() {
@@ -49,7 +50,7 @@
     line.split_whitespace().nth(9)?.parse().ok()
 }
 
-/// Proxies by the daemon they lead to.
+/// Proxies by the name of the daemon behind them.
 #[derive(Default)]
 pub struct Net {
     pub pids: Pids,
@@ -57,33 +58,33 @@
 }
 
 impl Net {
-    /// Puts a proxy in front of one address of a daemon and gives the address others use.
-    pub async fn front(&mut self, daemon: &str, addr: SocketAddr) -> SocketAddr {
+    /// Starts a proxy for one address of a daemon and returns the proxy's address.
+    pub async fn add_proxy(&mut self, daemon: &str, addr: SocketAddr) -> SocketAddr {
         let pids = self.pids.clone();
         let source = move |from, to| pids.owner(from, to).unwrap_or("unknown".into());
         let proxy = SourceProxy::start(addr, 1, source).await.unwrap();
-        let front = proxy.addr();
+        let proxy_addr = proxy.addr();
         self.proxies
             .entry(daemon.to_owned())
             .or_default()
             .push(proxy);
-        front
+        proxy_addr
     }
 
-    /// Connections that one daemon opens to another.
+    /// Fault lanes for the connections that one daemon opens to another.
     pub fn lanes(&self, from: &str, to: &str) -> Vec<Lane> {
         let proxies = self.proxies.get(to).into_iter().flatten();
         proxies.map(|proxy| proxy.from(from)).collect()
     }
 
-    /// Injects a fault on connections that either of two daemons opens to the other.
+    /// Applies a fault to the connections that either of two daemons opens to the other.
     pub fn between(&self, a: &str, b: &str, fault: Fault) {
         for lane in self.lanes(a, b).into_iter().chain(self.lanes(b, a)) {
             lane.apply(fault);
         }
     }
 
-    /// Nothing that `from` sends reaches `to` any more; the other direction works.
+    /// Drops everything that `from` sends to `to`; the other direction works.
     pub fn silence(&self, from: &str, to: &str) {
         for lane in self.lanes(from, to) {
             lane.apply(Fault::Silence(Direction::ToServer));
--- a/tests/process_control.rs
+++ b/tests/process_control.rs
@@ -29,12 +29,12 @@
     // change may come into force.
     let env = TestEnv::start("two-operators", three_replicas()).await;
     for round in 0..5 {
-        let (base, _) = env.settled_document().await;
+        let (base, _) = env.document_in_force().await;
         let texts = [changed(100 + round), changed(200 + round)];
         let [a, b] = [0, 1].map(|n| {
             let (addr, key) = (env.replicas[n + 1].http, format!("{round}-{n}"));
             let (env, text) = (&env, &texts[n]);
-            async move { env.put_settled(addr, text, base, &key).await }
+            async move { env.put_until_final(addr, text, base, &key).await }
         });
         let results = <[_; 2]>::from(tokio::join!(a, b));
         let winner = results
@@ -44,7 +44,7 @@
         assert_eq!(results[winner].as_ref().unwrap(), &(base + 1));
         let (status, body) = results[1 - winner].as_ref().unwrap_err();
         assert_eq!(*status, 412, "{body}");
-        let (revision, text) = env.settled_document().await;
+        let (revision, text) = env.document_in_force().await;
         assert_eq!(revision, base + 1);
         let shown: serde_json::Value = serde_json::from_str(body).unwrap();
         assert_eq!(shown["text"].as_str(), Some(text.as_str()));
@@ -75,10 +75,10 @@
     env.replicas[leader].kill();
     let next = env.new_leader(Some(leader)).await;
     let again = env
-        .put_settled(env.replicas[next].http, &changed(49), 1, "k-1")
+        .put_until_final(env.replicas[next].http, &changed(49), 1, "k-1")
         .await;
     assert_eq!(again, Ok(2));
-    assert_eq!(env.settled_document().await.0, 2);
+    assert_eq!(env.document_in_force().await.0, 2);
 }
 
 /// Failure of the leader.
@@ -183,7 +183,7 @@
     recover(&mut env, leader, failure);
     submit(&env, "after").await;
     env.check_done(&names).await;
-    let (revision, text) = env.settled_document().await;
+    let (revision, text) = env.document_in_force().await;
     assert_eq!(Some(revision), put);
     assert!(text.contains("73 h"), "{text}");
 }
@@ -231,7 +231,7 @@
     env.replicas[leader].kill();
     env.replicas[leader].start(&[]);
     env.new_leader(None).await;
-    let (revision, text) = env.settled_document().await;
+    let (revision, text) = env.document_in_force().await;
     assert_eq!(revision, 2);
     assert!(text.contains("97 h"));
 }
@@ -254,7 +254,7 @@
     for revision in 1..=500 {
         let text = changed(24 + revision % 50);
         let put = env
-            .put_settled(addr, &text, revision, &format!("k-{revision}"))
+            .put_until_final(addr, &text, revision, &format!("k-{revision}"))
             .await;
         assert_eq!(put, Ok(revision + 1));
     }
@@ -265,7 +265,7 @@
     env.replicas[leader].kill();
     env.replicas[other].start(&[]);
     env.new_leader(Some(leader)).await;
-    let (revision, text) = env.settled_document().await;
+    let (revision, text) = env.document_in_force().await;
     assert_eq!(revision, 502);
     assert!(text.contains("99 h"));
 }
--- a/tests/process_whole.rs
+++ b/tests/process_whole.rs
@@ -1,4 +1,4 @@
-//! The whole path as real processes: callers, entry host, control, workers and minions.
+//! End-to-end tests with real processes: callers, entry host, control, workers and minions.
 
 mod cell;
 
@@ -13,9 +13,9 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn control_restarts_in_the_middle_of_work() {
-    // The only control replica is killed while tasks run and jobs wait, and started again on its
-    // data folder. It must know every accepted job, treat every lease as live, and neither start a
-    // running task a second time nor forget a waiting one. Requests go on without it.
+    // The only control replica is killed while tasks run and jobs wait, then restarted on its data
+    // folder. It must still have every accepted job and treat every lease as live, so that no
+    // running task is started twice and no waiting one is lost. Requests are served without it.
     let shape = Shape {
         workers: 2,
         minions: 2,
@@ -40,8 +40,8 @@
 #[case::torres("torres", Resources::new(32, 128_000, 0))]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn each_example_document_runs_end_to_end(#[case] name: &str, #[case] capacity: Resources) {
-    // A newcomer puts an example document in force, sends a request to its service and one job of
-    // each kind that ends by itself. All are done once; what is declared as long-running runs.
+    // With each example document a request to its service and one job of each kind that ends by
+    // itself must be done exactly once, and the declared workloads must run.
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("examples/{name}.yaml"));
     let text = std::fs::read_to_string(&path).unwrap();
     let doc = document::parse(name, &text).unwrap();
@@ -68,9 +68,9 @@
     }
     let answer = env.ask(0, "/check", &[]).await;
     assert_eq!(answer.outcome, "done", "{answer:?}");
-    let wanted: u32 = doc.workloads.values().map(|workload| workload.tasks).sum();
+    let declared: u32 = doc.workloads.values().map(|workload| workload.tasks).sum();
     until("the declared tasks to run", async || {
-        env.ledger.counts().running >= wanted as usize
+        env.ledger.counts().running >= declared as usize
     })
     .await;
     env.check_done(&names).await;
