--- a/benches/dispatch.rs
+++ b/benches/dispatch.rs
@@ -254,7 +254,7 @@
     fn carry_out(&mut self, order: Order) {
         let round_trip = Duration::from_millis(2);
         match order {
-            Order::Note(_) => {}
+            Order::Event(_) => {}
             Order::Advise(question) => self.at(question.cost, Event::Advised(question)),
             Order::Minion(target, MinionOrder::Start(start)) => {
                 self.starts += 1;
--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -11,8 +11,8 @@
 use super::ready::remove_job;
 use super::run::charged;
 use super::{Dispatcher, ReadyStep};
+use crate::batch::event::Event;
 use crate::batch::model::{AdviceTerms, JobId, MinionNumber, StepId, StepSpec};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
@@ -332,7 +332,7 @@
             return;
         };
         self.questions.over(&asked);
-        self.out.push(Order::Note(Box::new(Note::StepAdvised {
+        self.out.push(Order::Event(Box::new(Event::StepAdvised {
             step: id,
             waiting,
             asked: asked.minions.len(),
--- a/src/batch/dispatch/answers.rs
+++ b/src/batch/dispatch/answers.rs
@@ -8,9 +8,9 @@
 use super::minion::UnsettledStart;
 use super::order::{Answer, MinionAnswer, MinionOrder, Order, OrderKind, StartOrder, StartRefusal};
 use super::run::{RunState, StopState};
+use crate::batch::event::Event;
 use crate::batch::ledger::Ledger;
 use crate::batch::model::{EndKind, MinionNumber, RunNumber, TaskId};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 
 /// Time from sending a start to its deadline. Short, so that a late start is refused soon and its
@@ -180,7 +180,7 @@
         tries: u32,
     ) {
         let minion = self.minions.get(&number).map(|m| m.report.id.clone());
-        self.note(Note::StartFailed {
+        self.emit(Event::StartFailed {
             task,
             run,
             minion: minion.unwrap_or_default(),
--- a/src/batch/dispatch/applied.rs
+++ b/src/batch/dispatch/applied.rs
@@ -5,9 +5,9 @@
 use super::ready::remove_job;
 use super::run::{Run, RunState};
 use super::{Dispatcher, JobId, StepId, TaskId};
+use crate::batch::event::Event;
 use crate::batch::ledger::{Batch, Command, Ledger, Start};
 use crate::batch::model::{EndKind, Grouping, JobState};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 
 impl Dispatcher {
@@ -21,7 +21,7 @@
                 if fresh {
                     self.set_services(parsed);
                     self.renew_limits(ledger);
-                    self.note(Note::ConfigInForce {
+                    self.emit(Event::ConfigInForce {
                         version: *version,
                         queues: parsed.queues.len(),
                     });
@@ -31,7 +31,7 @@
                 job, queue, owner, ..
             } => {
                 if fresh {
-                    self.note(Note::JobAccepted {
+                    self.emit(Event::JobAccepted {
                         job: *job,
                         queue: queue.name.clone(),
                         workspace: owner.clone(),
@@ -147,7 +147,7 @@
             JobState::Failed => "failed",
             _ => "canceled",
         };
-        self.note(Note::JobEnded {
+        self.emit(Event::JobEnded {
             job: id,
             state,
             age: ledger.clock.saturating_sub(job.accepted),
--- a/src/batch/dispatch/census.rs
+++ b/src/batch/dispatch/census.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{Dispatcher, ReadyStep, charged};
+use crate::batch::event::Event;
 use crate::batch::model::StepId;
-use crate::batch::note::Note;
 use crate::ids::{Timestamp, WorkspaceName};
 use crate::resources::Resources;
 
@@ -37,7 +37,7 @@
         self.census_at = now + REPORT_INTERVAL;
         let taking = || self.minions.values().filter(|m| m.takes_work(now));
         let sum = |sum: Resources, part: &Resources| sum.saturating_add(part);
-        let cell = Note::Cell {
+        let cell = Event::Cell {
             minions: taking().count(),
             used: taking().map(|m| &m.used).fold(Resources::ZERO, sum),
             capacity: taking()
@@ -48,9 +48,9 @@
             questions: self.questions.count(),
             agents: self.agents,
         };
-        self.note(cell);
-        for note in self.workspace_uses() {
-            self.note(note);
+        self.emit(cell);
+        for event in self.workspace_uses() {
+            self.emit(event);
         }
         let order = self.service_order(unix);
         let long = order.iter().filter_map(|id| {
@@ -58,19 +58,19 @@
             let age = unix.saturating_sub(step.accepted);
             (age > LONG_WAIT).then(|| self.step_wait(now, *id, step, age))
         });
-        for note in long.take(MAX_STEPS_REPORTED).collect::<Vec<_>>() {
-            self.note(note);
+        for event in long.take(MAX_STEPS_REPORTED).collect::<Vec<_>>() {
+            self.emit(event);
         }
     }
 
-    fn step_wait(&self, now: Timestamp, id: StepId, step: &ReadyStep, age: Duration) -> Note {
+    fn step_wait(&self, now: Timestamp, id: StepId, step: &ReadyStep, age: Duration) -> Event {
         let spec = &step.spec.steps[usize::from(id.step)];
         let need = charged(spec);
         let knowledge = self.knowledge.get(&id);
         let mut suitable = self.candidates(id, step);
         suitable.retain(|m| self.suits(now, m, id, step, spec));
         let with_room = suitable.iter().filter(|m| need.fits_in(&m.free()));
-        Note::StepWaits {
+        Event::StepWaits {
             step: id,
             waiting: step.waiting.len(),
             age,
@@ -84,7 +84,7 @@
     }
 
     /// Use of the workspaces that have a limit, those nearest to it first.
-    fn workspace_uses(&self) -> Vec<Note> {
+    fn workspace_uses(&self) -> Vec<Event> {
         let mut waiting: BTreeMap<&WorkspaceName, WaitingTasks> = BTreeMap::new();
         for (id, step) in &self.ready {
             let Some(owner) = &step.owner else { continue };
@@ -101,7 +101,7 @@
         uses.truncate(MAX_WORKSPACES_REPORTED);
         let uses = uses.into_iter().map(|(name, used, limit)| {
             let waiting = waiting.get(name).copied().unwrap_or_default();
-            Note::WorkspaceUse {
+            Event::WorkspaceUse {
                 workspace: name.clone(),
                 used,
                 limit,
--- a/src/batch/dispatch/claims.rs
+++ b/src/batch/dispatch/claims.rs
@@ -13,8 +13,8 @@
 use super::minion::Minion;
 use super::run::{Run, RunState, charged};
 use super::{Dispatcher, ReadyStep};
+use crate::batch::event::Event;
 use crate::batch::model::{Grouping, Lifetime, MinionNumber, StepId, StepSpec, TaskId};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
@@ -316,7 +316,7 @@
         for task in places.into_iter().flat_map(|place| place.victims) {
             let run = self.runs.get(&task).map_or(0, |r| r.run);
             let by = waiting.id;
-            self.note(Note::RunPreempted { task, run, by });
+            self.emit(Event::RunPreempted { task, run, by });
             self.stop_run(waiting.now, task);
         }
     }
--- a/src/batch/dispatch/crashes.rs
+++ b/src/batch/dispatch/crashes.rs
@@ -11,9 +11,9 @@
 use super::minion::{Minion, Presence};
 use super::place::Score;
 use super::run::{Run, RunState};
+use crate::batch::event::Event;
 use crate::batch::ledger::{Certainty, Crash};
 use crate::batch::model::{MinionNumber, TaskId};
-use crate::batch::note::Note;
 use crate::ids::{MinionId, Timestamp};
 
 /// Run time after which a crash of the minion is not blamed on the start of a run.
@@ -95,7 +95,7 @@
     /// Adds crashes to the next batch, to be counted for the tasks that may have caused them.
     pub(super) fn count_crashes(&mut self, minion: MinionId, crashes: Vec<Crash>) {
         for crash in &crashes {
-            self.note(Note::CrashCounted {
+            self.emit(Event::CrashCounted {
                 task: crash.task,
                 run: crash.run,
                 minion: minion.clone(),
--- a/src/batch/dispatch/holds.rs
+++ b/src/batch/dispatch/holds.rs
@@ -7,9 +7,9 @@
 use super::crashes::GoneEvidence;
 use super::minion::{HoldState, Minion, Presence};
 use super::order::{HoldAnswer, HoldOrder, Listing, MinionOrder, Order};
+use crate::batch::event::Event;
 use crate::batch::ledger::Ledger;
 use crate::batch::model::{EndKind, MinionNumber};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
@@ -206,13 +206,13 @@
                 let pause = (RETRY_PAUSE * (minion.silent_calls - 1)).min(RETRY_PAUSE_MAX);
                 minion.hold = HoldState::Due(now + pause);
                 if minion.silent_calls == 1 {
-                    let note = Note::MinionSilent {
+                    let event = Event::MinionSilent {
                         minion: minion.report.id.clone(),
                         brought: answer.as_str(),
                         heard: now.saturating_sub(minion.heard),
                         runs: minion.runs.len(),
                     };
-                    self.note(note);
+                    self.emit(event);
                 }
                 let minion = &self.minions[&number];
                 if let HoldAnswer::Silent(silence) = answer
@@ -243,13 +243,13 @@
             return;
         }
         let tasks: Vec<_> = minion.runs.iter().copied().collect();
-        let note = Note::MinionGone {
+        let event = Event::MinionGone {
             minion: minion.report.id.clone(),
             why: "its lease is over",
             heard: now.saturating_sub(minion.heard),
             runs: tasks.len(),
         };
-        self.note(note);
+        self.emit(event);
         let suspects = self.suspects(&self.minions[&number], now);
         for task in tasks {
             self.run_over(now, task, EndKind::Lapsed, Default::default());
@@ -276,7 +276,7 @@
         };
         let tasks: Vec<_> = minion.runs.iter().copied().collect();
         let heard = minion.heard;
-        let note = Note::MinionGone {
+        let event = Event::MinionGone {
             minion: minion.report.id.clone(),
             why: evidence.as_str(),
             heard: now.saturating_sub(heard),
@@ -284,7 +284,7 @@
         };
         let crashed = evidence.shows_crash(minion);
         let mut suspects = self.suspects(minion, sent);
-        self.note(note);
+        self.emit(event);
         let kind = if crashed {
             EndKind::Crashed
         } else {
--- a/src/batch/dispatch/listings.rs
+++ b/src/batch/dispatch/listings.rs
@@ -9,9 +9,9 @@
 use super::order::{ListedEnd, ListedRun, Listing, MinionOrder, Order};
 use super::run::{RunState, StopState};
 use super::{Dispatcher, charged};
+use crate::batch::event::Event;
 use crate::batch::ledger::{End, Ledger};
 use crate::batch::model::{Checkpoint, EndKind, MinionNumber, RunNumber, TaskId};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 
 /// Most ends that a minion lists. A listing with this many may be truncated, so a run that it does
@@ -51,7 +51,7 @@
         // started a second time.
         let is_complete = listing.ended.len() < MAX_ENDS_LISTED && listing.unreadable == 0;
         if listing.unreadable > 0 {
-            self.note_unreadable(now, number, listing.unreadable);
+            self.report_unreadable(now, number, listing.unreadable);
         }
         for end in &listing.ended {
             self.take_end(now, number, end);
@@ -64,7 +64,7 @@
         }
     }
 
-    fn note_unreadable(&mut self, now: Timestamp, number: MinionNumber, rows: u32) {
+    fn report_unreadable(&mut self, now: Timestamp, number: MinionNumber, rows: u32) {
         let logged = self.unreadable_told;
         if logged.is_some_and(|at| now < at + UNREADABLE_LOG_INTERVAL) {
             return;
@@ -72,7 +72,7 @@
         self.unreadable_told = Some(now);
         if let Some(minion) = self.minions.get(&number) {
             let minion = minion.report.id.clone();
-            self.note(Note::RowsUnreadable { minion, rows });
+            self.emit(Event::RowsUnreadable { minion, rows });
         }
     }
 
@@ -162,7 +162,7 @@
         let run = run.clone();
         self.free_room(task, &run);
         let id = self.minions.get(&run.minion).map(|m| m.report.id.clone());
-        self.note(Note::RunEnded {
+        self.emit(Event::RunEnded {
             task,
             run: run.run,
             minion: id.unwrap_or_default(),
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -36,9 +36,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
+use super::event::Event;
 use super::ledger::{Batch, Ledger, TaskRecord, TaskState};
 use super::model::{Configuration, JobId, MinionNumber, MinionReport, StepId, TaskId};
-use super::note::Note;
 use crate::ids::{MinionId, ServiceName, Term, Timestamp};
 
 use advice::Knowledge;
@@ -134,7 +134,7 @@
     place_at: Timestamp,
     /// Next occurrence of each job with a timetable, by Unix time.
     timetable: BTreeSet<(Timestamp, JobId, u32)>,
-    /// Time of the next note on the state of the cell.
+    /// Time of the next event on the state of the cell.
     census_at: Timestamp,
     /// Highest priority number seen so far; higher numbers are less urgent.
     least_urgent: u32,
@@ -209,7 +209,7 @@
         for id in ledger.jobs.keys() {
             d.restore_job(ledger, *id, now);
         }
-        d.out.push(Order::Note(Box::new(Note::LeadBegan {
+        d.out.push(Order::Event(Box::new(Event::LeadBegan {
             term,
             runs: d.runs.len(),
             jobs: ledger.jobs.values().filter(|j| !j.state.is_final()).count(),
@@ -362,8 +362,8 @@
         }
     }
 
-    fn note(&mut self, note: Note) {
-        self.out.push(Order::Note(Box::new(note)));
+    fn emit(&mut self, event: Event) {
+        self.out.push(Order::Event(Box::new(event)));
     }
 
     /// Does all work that is due and returns the batch to propose to the log. `now` is monotonic
--- a/src/batch/dispatch/order.rs
+++ b/src/batch/dispatch/order.rs
@@ -7,8 +7,8 @@
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
+use crate::batch::event::Event;
 use crate::batch::model::{Checkpoint, EndKind, MinionNumber, RunNumber, StepId, TaskId};
-use crate::batch::note::Note;
 use crate::ids::{MinionId, Term, Timestamp, ZoneName};
 
 /// Recipient of an order.
@@ -123,7 +123,7 @@
     /// Ask the policy service which minions may run a step.
     Advise(AdviceQuestion),
     /// Log a decision and its inputs.
-    Note(Box<Note>),
+    Event(Box<Event>),
 }
 
 /// Identifies a question to the policy service, to match its answer.
--- a/src/batch/dispatch/place.rs
+++ b/src/batch/dispatch/place.rs
@@ -11,9 +11,9 @@
 use super::scarcity::Utilization;
 use super::speed::Slowness;
 use super::{Dispatcher, ReadyStep};
+use crate::batch::event::Event;
 use crate::batch::ledger::{Ledger, Start};
 use crate::batch::model::{Grouping, Lifetime, MinionNumber, StepId, StepSpec, TaskId};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
@@ -320,7 +320,7 @@
         let Some(minion) = self.minions.get(&number) else {
             return;
         };
-        self.note(Note::RunPlaced {
+        self.emit(Event::RunPlaced {
             task,
             run,
             minion: minion.report.id.clone(),
--- a/src/batch/dispatch/quota.rs
+++ b/src/batch/dispatch/quota.rs
@@ -9,9 +9,9 @@
 use super::Dispatcher;
 use super::mechanisms::Mechanism;
 use super::ready::ReadyStep;
+use crate::batch::event::Event;
 use crate::batch::ledger::Ledger;
 use crate::batch::model::{Grouping, RunNumber, StepId, StepSpec, TaskId};
-use crate::batch::note::Note;
 use crate::ids::{Timestamp, WorkspaceName};
 use crate::resources::Resources;
 
@@ -229,7 +229,7 @@
         let owner = step.owner.as_ref();
         let victims = owner.and_then(|o| self.victims_in_limit(now, o, step, spec));
         for (task, run) in victims.into_iter().flatten() {
-            self.note(Note::RunPreempted { task, run, by: id });
+            self.emit(Event::RunPreempted { task, run, by: id });
             self.stop_run(now, task);
         }
     }
--- a/src/batch/dispatch/reports.rs
+++ b/src/batch/dispatch/reports.rs
@@ -3,8 +3,8 @@
 use super::Dispatcher;
 use super::minion::Minion;
 use super::restarts::RestartSource;
+use crate::batch::event::Event;
 use crate::batch::model::{MinionNumber, MinionReport, Readiness};
-use crate::batch::note::Note;
 use crate::ids::{MinionId, Timestamp};
 use crate::resources::Resources;
 
@@ -21,7 +21,7 @@
             old.displaced(now);
             self.touched.insert(old.number);
         }
-        self.note(Note::MinionJoined {
+        self.emit(Event::MinionJoined {
             minion: report.id.clone(),
             started: report.started,
         });
@@ -61,7 +61,7 @@
         if draining && !minion.draining {
             minion.draining = true;
             self.batch.draining.push(number);
-            self.note(Note::MinionDraining {
+            self.emit(Event::MinionDraining {
                 minion: id,
                 sequence,
             });
@@ -78,7 +78,7 @@
             return;
         };
         let minion = minion.report.id.clone();
-        self.note(Note::MinionResized { minion, capacity });
+        self.emit(Event::MinionResized { minion, capacity });
         self.batch.resized.push((number, capacity));
         self.utilizations.changed();
         self.forget_releases(number);
@@ -95,10 +95,10 @@
         }
         minion.left(now);
         self.touched.insert(minion.number);
-        let note = Note::MinionLeft {
+        let event = Event::MinionLeft {
             minion: id.clone(),
             runs: minion.runs.len(),
         };
-        self.note(note);
+        self.emit(event);
     }
 }
--- a/src/batch/dispatch/restarts.rs
+++ b/src/batch/dispatch/restarts.rs
@@ -13,9 +13,9 @@
 use super::order::{MinionOrder, Order};
 use super::run::{Run, RunState, StopState};
 use super::{STALE_ORDERS, max_lease_on_local_clock};
+use crate::batch::event::Event;
 use crate::batch::ledger::Crash;
 use crate::batch::model::{EndKind, MinionNumber, MinionReport, Readiness, TaskId};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 
 /// How a restart was detected.
@@ -63,7 +63,7 @@
         let Some(former) = self.minions.remove(&number) else {
             return;
         };
-        self.note(Note::MinionRestarted {
+        self.emit(Event::MinionRestarted {
             minion: report.id.clone(),
             started: report.started,
             before: former.report.started,
--- a/src/batch/driver.rs
+++ b/src/batch/driver.rs
@@ -11,9 +11,9 @@
     Advice, AdviceQuestion, Answer, HoldAnswer, HoldOrder, MinionAnswer, MinionOrder, Order,
     StartOrder, Target,
 };
+use super::event_output::{count_event, write_event};
 use super::machine::{Machine, OrderOutcome};
 use super::model::{RunNumber, TaskId};
-use super::telling::{count_note, write_note};
 use crate::ids::Term;
 use crate::replication::{ReplicaHandle, monotonic_now};
 
@@ -70,9 +70,9 @@
         let now = monotonic_now();
         for order in batch {
             match order {
-                Order::Note(note) => {
-                    count_note(&note);
-                    write_note(&log, &note);
+                Order::Event(event) => {
+                    count_event(&event);
+                    write_event(&log, &event);
                 }
                 Order::Advise(question) => forward_question(question, &agents, &replica),
                 Order::Minion(target, order) => {
--- a/src/batch/note.rs
+++ b/src/batch/event.rs
@@ -11,7 +11,7 @@
 
 /// One decision or observation of the leader.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum Event {
     /// A job was accepted.
     JobAccepted {
         /// Id of the job.
--- a/src/batch/telling.rs
+++ b/src/batch/event_output.rs
@@ -1,17 +1,17 @@
-//! Writes the dispatcher's notes to the log and to the metrics.
+//! Writes the dispatcher's events to the log and to the metrics.
 
 use std::time::Duration;
 
 use metrics::{counter, gauge, histogram};
 use slog::{Logger, info, warn};
 
-use super::note::Note;
+use super::event::Event;
 
-/// Writes a note as one log line. Workspaces that are below their limit are not logged.
-pub(crate) fn write_note(log: &Logger, note: &Note) {
+/// Writes an event as one log line. Workspaces that are below their limit are not logged.
+pub(crate) fn write_event(log: &Logger, event: &Event) {
     let ms = |d: &Duration| d.as_millis() as u64;
-    match note {
-        Note::JobAccepted {
+    match event {
+        Event::JobAccepted {
             job,
             queue,
             workspace,
@@ -19,9 +19,9 @@
         } => info!(log, "job accepted"; "job" => format!("{job:016x}"),
             "queue" => queue.as_str(), "workspace" => workspace.as_deref(),
             "unstarted" => unstarted),
-        Note::JobEnded { job, state, age } => info!(log, "job ended";
+        Event::JobEnded { job, state, age } => info!(log, "job ended";
             "job" => format!("{job:016x}"), "state" => state, "age_ms" => ms(age)),
-        Note::RunPlaced {
+        Event::RunPlaced {
             task,
             run,
             minion,
@@ -33,7 +33,7 @@
         } => info!(log, "run placed"; "task" => %task, "run" => run, "minion" => minion.as_str(),
             "age_ms" => ms(age), "estimate_ms" => ms(estimate),
             "slack_ms" => ms(slack), "free_millicores" => free, "heard_ms" => ms(heard)),
-        Note::RunEnded {
+        Event::RunEnded {
             task,
             run,
             minion,
@@ -41,7 +41,7 @@
             age,
         } => info!(log, "run ended"; "task" => %task, "run" => run, "minion" => minion.as_str(),
             "how" => kind.as_str(), "age_ms" => ms(age)),
-        Note::StartFailed {
+        Event::StartFailed {
             task,
             run,
             minion,
@@ -49,9 +49,9 @@
             tries,
         } => info!(log, "start failed"; "task" => %task, "run" => run,
             "minion" => minion.as_str(), "why" => why, "tries" => tries),
-        Note::MinionJoined { minion, started } => info!(log, "minion joined";
+        Event::MinionJoined { minion, started } => info!(log, "minion joined";
             "minion" => minion.as_str(), "started_ms" => started.as_ref().map(ms)),
-        Note::MinionRestarted {
+        Event::MinionRestarted {
             minion,
             started,
             before,
@@ -60,44 +60,44 @@
         } => info!(log, "minion started again"; "minion" => minion.as_str(),
             "started_ms" => started.as_ref().map(ms), "before_ms" => before.as_ref().map(ms),
             "heard_ms" => ms(heard), "runs" => runs),
-        Note::MinionResized { minion, capacity } => info!(log, "minion resized";
+        Event::MinionResized { minion, capacity } => info!(log, "minion resized";
             "minion" => minion.as_str(), "millicores" => capacity.millicores,
             "mb" => capacity.memory_mb, "accelerators" => capacity.accelerators),
-        Note::MinionDraining { minion, sequence } => info!(log, "minion draining";
+        Event::MinionDraining { minion, sequence } => info!(log, "minion draining";
             "minion" => minion.as_str(), "sequence" => sequence),
-        Note::MinionLeft { minion, runs } => info!(log, "minion left";
+        Event::MinionLeft { minion, runs } => info!(log, "minion left";
             "minion" => minion.as_str(), "runs" => runs),
-        Note::MinionSilent {
+        Event::MinionSilent {
             minion,
             brought,
             heard,
             runs,
         } => info!(log, "minion silent"; "minion" => minion.as_str(), "brought" => brought,
             "heard_ms" => ms(heard), "runs" => runs),
-        Note::MinionGone {
+        Event::MinionGone {
             minion,
             why,
             heard,
             runs,
         } => info!(log, "minion gone"; "minion" => minion.as_str(), "why" => why,
             "heard_ms" => ms(heard), "runs" => runs),
-        Note::CrashCounted {
+        Event::CrashCounted {
             task,
             run,
             minion,
             certainty,
         } => info!(log, "crash counted"; "task" => %task, "run" => run,
             "minion" => minion.as_str(), "certainty" => certainty.as_str()),
-        Note::RowsUnreadable { minion, rows } => warn!(log, "rows cannot be read";
+        Event::RowsUnreadable { minion, rows } => warn!(log, "rows cannot be read";
             "minion" => minion.as_str(), "rows" => rows),
-        Note::LeadBegan {
+        Event::LeadBegan {
             term,
             runs,
             jobs,
             config,
         } => info!(log, "leadership began"; "term" => term, "runs" => runs, "jobs" => jobs,
             "config" => config),
-        Note::StepAdvised {
+        Event::StepAdvised {
             step,
             waiting,
             asked,
@@ -105,9 +105,9 @@
             took,
         } => info!(log, "step advised"; "step" => %step, "waiting" => waiting, "asked" => asked,
             "good" => good, "took_ms" => ms(took)),
-        Note::RunPreempted { task, run, by } => info!(log, "run preempted";
+        Event::RunPreempted { task, run, by } => info!(log, "run preempted";
             "task" => %task, "run" => run, "by" => %by),
-        Note::StepWaits {
+        Event::StepWaits {
             step,
             waiting,
             age,
@@ -120,7 +120,7 @@
         } => info!(log, "step waits"; "step" => %step, "waiting" => waiting,
             "age_ms" => ms(age), "good" => good, "tickets" => tickets, "room" => room,
             "asked" => asked, "limited" => limited, "surplus" => surplus),
-        Note::WorkspaceUse {
+        Event::WorkspaceUse {
             workspace,
             used,
             limit,
@@ -136,7 +136,7 @@
                     "waiting" => waiting, "limited" => limited);
             }
         }
-        Note::Cell {
+        Event::Cell {
             minions,
             used,
             capacity,
@@ -149,71 +149,71 @@
             "mb" => capacity.memory_mb, "used_accelerators" => used.accelerators,
             "accelerators" => capacity.accelerators, "waiting" => waiting, "steps" => steps,
             "questions" => questions, "agents" => agents),
-        Note::ConfigInForce { version, queues } => info!(log, "configuration in force";
+        Event::ConfigInForce { version, queues } => info!(log, "configuration in force";
             "version" => version, "queues" => queues),
     }
 }
 
-/// Updates the metrics for a note.
-pub(crate) fn count_note(note: &Note) {
-    match note {
-        Note::JobAccepted { unstarted, .. } => {
+/// Updates the metrics for an event.
+pub(crate) fn count_event(event: &Event) {
+    match event {
+        Event::JobAccepted { unstarted, .. } => {
             counter!("yuccahold_batch_jobs_accepted_total").increment(1);
             gauge!("yuccahold_batch_jobs_unstarted").set(*unstarted as f64);
         }
-        Note::JobEnded { state, age, .. } => {
+        Event::JobEnded { state, age, .. } => {
             counter!("yuccahold_batch_jobs_ended_total", "state" => *state).increment(1);
             histogram!("yuccahold_batch_job_seconds").record(age.as_secs_f64());
         }
-        Note::RunPlaced { run, age, .. } => {
+        Event::RunPlaced { run, age, .. } => {
             counter!("yuccahold_batch_runs_placed_total").increment(1);
             if *run == 1 {
                 histogram!("yuccahold_batch_accepted_to_placed_seconds").record(age.as_secs_f64());
             }
         }
-        Note::RunEnded { kind, age, .. } => {
+        Event::RunEnded { kind, age, .. } => {
             counter!("yuccahold_batch_runs_ended_total", "how" => kind.as_str()).increment(1);
             histogram!("yuccahold_batch_run_seconds").record(age.as_secs_f64());
         }
-        Note::StartFailed { why, .. } => {
+        Event::StartFailed { why, .. } => {
             counter!("yuccahold_batch_starts_failed_total", "why" => *why).increment(1);
         }
-        Note::MinionJoined { .. } => counter!("yuccahold_batch_minions_joined_total").increment(1),
-        Note::MinionRestarted { .. } => {
+        Event::MinionJoined { .. } => counter!("yuccahold_batch_minions_joined_total").increment(1),
+        Event::MinionRestarted { .. } => {
             counter!("yuccahold_batch_minions_restarted_total").increment(1);
         }
-        Note::MinionResized { .. } => {
+        Event::MinionResized { .. } => {
             counter!("yuccahold_batch_minions_resized_total").increment(1)
         }
-        Note::MinionDraining { .. } => {
+        Event::MinionDraining { .. } => {
             counter!("yuccahold_batch_minions_draining_total").increment(1);
         }
-        Note::MinionLeft { .. } => counter!("yuccahold_batch_minions_left_total").increment(1),
-        Note::MinionSilent { .. } => counter!("yuccahold_batch_minions_silent_total").increment(1),
-        Note::MinionGone { heard, runs, .. } => {
+        Event::MinionLeft { .. } => counter!("yuccahold_batch_minions_left_total").increment(1),
+        Event::MinionSilent { .. } => counter!("yuccahold_batch_minions_silent_total").increment(1),
+        Event::MinionGone { heard, runs, .. } => {
             counter!("yuccahold_batch_minions_gone_total").increment(1);
             if *runs > 0 {
                 histogram!("yuccahold_batch_minion_gone_seconds").record(heard.as_secs_f64());
             }
         }
-        Note::CrashCounted { certainty, .. } => {
+        Event::CrashCounted { certainty, .. } => {
             counter!("yuccahold_batch_crashes_counted_total", "certainty" => certainty.as_str())
                 .increment(1);
         }
-        Note::LeadBegan { term, .. } => {
+        Event::LeadBegan { term, .. } => {
             counter!("yuccahold_batch_leads_total").increment(1);
             gauge!("yuccahold_batch_term").set(*term as f64);
         }
-        Note::StepAdvised { good, took, .. } => {
+        Event::StepAdvised { good, took, .. } => {
             let answered = if good.is_some() { "yes" } else { "no" };
             counter!("yuccahold_batch_questions_total", "answered" => answered).increment(1);
             histogram!("yuccahold_batch_question_seconds").record(took.as_secs_f64());
         }
-        Note::RunPreempted { .. } => {
+        Event::RunPreempted { .. } => {
             counter!("yuccahold_batch_runs_preempted_total").increment(1);
         }
-        Note::StepWaits { .. } => {}
-        Note::WorkspaceUse {
+        Event::StepWaits { .. } => {}
+        Event::WorkspaceUse {
             workspace,
             used,
             limit,
@@ -228,11 +228,11 @@
             gauge!("yuccahold_batch_workspace_tasks_limited", "workspace" => name())
                 .set(*limited as f64);
         }
-        Note::RowsUnreadable { rows, .. } => {
+        Event::RowsUnreadable { rows, .. } => {
             counter!("yuccahold_platform_unreadable_rows_total", "list" => "runs")
                 .increment(u64::from(*rows));
         }
-        Note::Cell {
+        Event::Cell {
             minions,
             used,
             capacity,
@@ -244,7 +244,7 @@
             gauge!("yuccahold_batch_millicores").set(f64::from(capacity.millicores));
             gauge!("yuccahold_batch_tasks_waiting").set(*waiting as f64);
         }
-        Note::ConfigInForce { version, .. } => {
+        Event::ConfigInForce { version, .. } => {
             gauge!("yuccahold_batch_config_version").set(*version as f64);
         }
     }
