--- a/src/batch/agents.rs
+++ b/src/batch/agents.rs
@@ -14,7 +14,7 @@
 use super::dispatch::{AdviceQuestion, MinionAnswer, MinionOrder, OrderKind, QuestionId, Target};
 use super::machine::OrderOutcome;
 use super::model::MinionNumber;
-use super::rank::rank;
+use super::rendezvous::rendezvous_weight;
 use crate::ids::{Timestamp, ZoneName};
 
 /// Number of an agent's connection to the leader.
@@ -220,7 +220,7 @@
 }
 
 impl Pool {
-    /// Chooses the agent for a minion by rendezvous hashing: the highest rank among the agents in
+    /// Chooses the agent for a minion by rendezvous hashing: the highest weight among the agents in
     /// the minion's zone, or among all agents if that zone has none.
     ///
     /// Each agent that joins takes over its share of the minions and no more. A fixed assignment
@@ -231,8 +231,8 @@
         let eligible = |agent: &&Agent| !agent.on_leader_host && now >= agent.suspended_until;
         let all = self.agents.iter().filter(|(_, agent)| eligible(agent));
         let best = all.max_by_key(|(id, agent)| {
-            let rank = rank(target.minion, **id);
-            (agent.zone == target.zone, rank, **id)
+            let weight = rendezvous_weight(target.minion, **id);
+            (agent.zone == target.zone, weight, **id)
         });
         best.map(|(id, _)| *id)
     }
--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -128,7 +128,7 @@
         if entry.is_asked() || now < entry.next_question {
             return;
         }
-        let candidates = self.whom_to_ask(now, id, step, terms);
+        let candidates = self.question_candidates(now, id, step, terms);
         if candidates.is_empty() {
             if let Some(knowledge) = self.knowledge.get_mut(&id) {
                 knowledge.next_question = now + NO_CANDIDATE_PAUSE;
--- a/src/batch/dispatch/census.rs
+++ b/src/batch/dispatch/cell_report.rs
@@ -30,11 +30,11 @@
 impl Dispatcher {
     /// Reports how full the cell is, each limited workspace's use, and steps that wait long, once a
     /// second. `unix` is the time of day.
-    pub(super) fn take_census(&mut self, now: Timestamp, unix: Timestamp) {
-        if now < self.census_at {
+    pub(super) fn report_cell_state(&mut self, now: Timestamp, unix: Timestamp) {
+        if now < self.next_cell_report {
             return;
         }
-        self.census_at = now + REPORT_INTERVAL;
+        self.next_cell_report = now + REPORT_INTERVAL;
         let taking = || self.minions.values().filter(|m| m.takes_work(now));
         let sum = |sum: Resources, part: &Resources| sum.saturating_add(part);
         let cell = Event::Cell {
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -8,7 +8,7 @@
 mod advice;
 mod answers;
 mod applied;
-mod census;
+mod cell_report;
 mod claims;
 mod crashes;
 mod forecast;
@@ -21,16 +21,16 @@
 mod order;
 mod place;
 mod profile;
-mod prospects;
+mod question_candidates;
 mod questions;
 mod quota;
 mod ready;
 mod reports;
 mod restarts;
 mod run;
-mod scarcity;
 mod share;
 mod speed;
+mod utilization;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -103,9 +103,9 @@
     /// Runs that are being stopped and still occupy their resources.
     leaving: BTreeSet<TaskId>,
     /// Free resources of all minions by priority of the work, with the time of their computation.
-    availabilities: HashMap<u32, (Timestamp, prospects::Availabilities)>,
+    availabilities: HashMap<u32, (Timestamp, question_candidates::Availabilities)>,
     /// Utilization of each service.
-    utilizations: scarcity::Utilizations,
+    utilizations: utilization::Utilizations,
     /// Expected releases of resources on each minion, with the time of their computation.
     releases: RefCell<HashMap<MinionNumber, (Timestamp, forecast::Releases)>>,
     /// Limits and usage of workspaces.
@@ -135,7 +135,7 @@
     /// Next occurrence of each job with a timetable, by Unix time.
     timetable: BTreeSet<(Timestamp, JobId, u32)>,
     /// Time of the next event on the state of the cell.
-    census_at: Timestamp,
+    next_cell_report: Timestamp,
     /// Highest priority number seen so far; higher numbers are less urgent.
     least_urgent: u32,
     /// Ratio of measured to declared run times over all minions.
@@ -171,7 +171,7 @@
             agents: 1,
             leaving: BTreeSet::new(),
             availabilities: HashMap::new(),
-            utilizations: scarcity::Utilizations::default(),
+            utilizations: utilization::Utilizations::default(),
             releases: RefCell::new(HashMap::new()),
             quotas: quota::Quotas::default(),
             shares: share::ExcessJobs::default(),
@@ -186,7 +186,7 @@
             place_not_before: now,
             place_at: now,
             timetable: BTreeSet::new(),
-            census_at: now,
+            next_cell_report: now,
             least_urgent: 0,
             speeds: speed::CommonPace::default(),
             profiles: profile::Profiles::default(),
@@ -379,7 +379,7 @@
             self.place(now, unix, ledger);
         }
         self.send_stops(now);
-        self.take_census(now, unix);
+        self.report_cell_state(now, unix);
         if may_propose { self.take_batch() } else { None }
     }
 
--- a/src/batch/dispatch/prospects.rs
+++ b/src/batch/dispatch/question_candidates.rs
@@ -10,7 +10,7 @@
 use super::speed::Slowness;
 use super::{Dispatcher, ReadyStep};
 use crate::batch::model::{AdviceTerms, MinionNumber, StepId};
-use crate::batch::rank::rank;
+use crate::batch::rendezvous::rendezvous_weight;
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
@@ -76,7 +76,7 @@
     /// name many. When a step with one task left asked about two minions at a time, other work took
     /// their resources before the answer came, and the task waited for 12 s in a cell that was 80%
     /// full.
-    pub(super) fn whom_to_ask(
+    pub(super) fn question_candidates(
         &mut self,
         now: Timestamp,
         id: StepId,
@@ -144,7 +144,7 @@
                     },
                 preferred: urgent == (slowness <= Slowness::Usual),
                 places,
-                tie: rank(minion.number, id.job),
+                tie: rendezvous_weight(minion.number, id.job),
                 minion: minion.number,
                 allowed,
             });
--- a/src/batch/link.rs
+++ b/src/batch/link.rs
@@ -13,7 +13,7 @@
 use super::calls::{Call, CallNumber, CallReply, Down, OrderNumber, RETRY_AFTER, Up};
 use super::dispatch::MinionAnswer;
 use super::driver::{Minions, Policy, send_order};
-use super::watch::{ElectedLeader, Members, watch_elections};
+use super::election_watch::{ElectedLeader, Members, watch_elections};
 use crate::error::{Error, Result, Step};
 use crate::ids::{Term, ZoneName};
 use crate::task::AbortOnDrop;
--- a/tests/batch_world/hosts.rs
+++ b/tests/batch_world/hosts.rs
@@ -13,7 +13,7 @@
 };
 use yuccahold::resources::Resources;
 
-use super::life::{Incarnation, PendingHold};
+use super::incarnation::{Incarnation, PendingHold};
 use super::limits::Limits;
 use super::{World, ms, report};
 
--- a/tests/batch_world/limits.rs
+++ b/tests/batch_world/limits.rs
@@ -5,7 +5,7 @@
 
 use yuccahold::batch::model::{JobId, TaskId};
 
-use super::life::Incarnation;
+use super::incarnation::Incarnation;
 use super::ms;
 
 /// Longest time until a start that was sent is executed. For this time after a change, the former
--- a/tests/batch_world/mod.rs
+++ b/tests/batch_world/mod.rs
@@ -4,7 +4,7 @@
 
 pub mod cell;
 pub mod hosts;
-mod life;
+mod incarnation;
 mod limits;
 
 use std::collections::BTreeMap;
