--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -18,14 +18,14 @@
 
 /// Fewest minions named in a question, if that many are candidates. A job's objective allows for
 /// one call about this many minions per step, so asking about fewer gains nothing.
-pub(super) const FEWEST_ASKED: usize = 30;
+pub(super) const MIN_MINIONS_PER_QUESTION: usize = 30;
 /// Upper bound of the tasks counted as fitting on one minion; a task that needs no resources
 /// would fit without limit.
 const MAX_TASKS_PER_MINION: u32 = 10_000;
 /// A ticket is not used in this last part of its validity, which leaves time to retry the start.
 const TICKET_RESERVE: Duration = Duration::from_millis(350);
 /// Pause after a question that was not answered or whose answer named nothing new.
-const ASK_RETRY_PAUSE: Duration = Duration::from_millis(300);
+const QUESTION_RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Pause after a search that found no minion to ask about.
 const NO_CANDIDATE_PAUSE: Duration = Duration::from_millis(150);
 /// Shortest and longest pause between two checks of a step whose predecessors still run. Each check
@@ -276,7 +276,7 @@
             if now < step.look_at {
                 continue;
             }
-            let takes = terms.base + terms.per_minion * FEWEST_ASKED as u32;
+            let takes = terms.base + terms.per_minion * MIN_MINIONS_PER_QUESTION as u32;
             let known = self.knowledge.get(id);
             let has_ticket =
                 |k: &Knowledge| k.tickets.keys().any(|m| k.has_ticket(*m, now + takes));
@@ -340,7 +340,7 @@
             took: now.saturating_sub(asked.at),
         })));
         let Some(advice) = advice else {
-            knowledge.next_question = now + ASK_RETRY_PAUSE;
+            knowledge.next_question = now + QUESTION_RETRY_PAUSE;
             return;
         };
         let mut good = BTreeSet::new();
@@ -357,7 +357,7 @@
             .forbidden
             .extend(named.filter(|n| !good.contains(n)));
         if good.is_empty() && knowledge.forbidden.len() == before {
-            knowledge.next_question = now + ASK_RETRY_PAUSE;
+            knowledge.next_question = now + QUESTION_RETRY_PAUSE;
         }
         self.place_wanted = true;
     }
@@ -403,6 +403,6 @@
 }
 
 /// How many tasks with this need fit into `room`, at most `MAX_TASKS_PER_MINION`.
-pub(super) fn fits_times(room: &Resources, need: &Resources) -> u32 {
+pub(super) fn max_tasks_in(room: &Resources, need: &Resources) -> u32 {
     need.times_in(room).min(MAX_TASKS_PER_MINION)
 }
--- a/src/batch/dispatch/gangs.rs
+++ b/src/batch/dispatch/gangs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::advice::fits_times;
+use super::advice::max_tasks_in;
 use super::place::Score;
 use super::{Dispatcher, ReadyStep, charged};
 use crate::batch::ledger::Ledger;
@@ -61,7 +61,7 @@
             }
             let most = spec.max_per_minion.unwrap_or(u32::MAX);
             let slots = if self.claims.is_open(minion.number) {
-                fits_times(&minion.free(), &need).min(most)
+                max_tasks_in(&minion.free(), &need).min(most)
             } else {
                 1
             };
--- a/src/batch/dispatch/objective.rs
+++ b/src/batch/dispatch/objective.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::Dispatcher;
-use super::advice::FEWEST_ASKED;
+use super::advice::MIN_MINIONS_PER_QUESTION;
 use super::mechanisms::Mechanism;
 use super::run::charged;
 use crate::batch::ledger::Job;
@@ -121,7 +121,7 @@
         let tasks = tasks.map(|o| o.steps[usize::from(id.step)].tasks.iter());
         let failed = tasks.and_then(|tasks| tasks.map(|task| task.failures).max());
         let questions = job.queue.advice.map_or(Duration::ZERO, |t| {
-            t.base + t.per_minion * FEWEST_ASKED as u32
+            t.base + t.per_minion * MIN_MINIONS_PER_QUESTION as u32
         });
         takes * (self.waves(job, step) + failed.unwrap_or(0)) + questions
     }
--- a/src/batch/dispatch/question_candidates.rs
+++ b/src/batch/dispatch/question_candidates.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::advice::{FEWEST_ASKED, fits_times};
+use super::advice::{MIN_MINIONS_PER_QUESTION, max_tasks_in};
 use super::minion::Minion;
 use super::run::charged;
 use super::speed::Slowness;
@@ -15,7 +15,7 @@
 use crate::resources::Resources;
 
 /// Most minions that the policy service accepts in one question.
-const MAX_MINIONS_ASKED: usize = 100;
+const MAX_MINIONS_PER_QUESTION: usize = 100;
 /// Weights by what is known of the policy. A minion known to be allowed always gets a ticket, an
 /// unknown one about every second time.
 const WEIGHT_ALLOWED: u32 = 2;
@@ -116,7 +116,8 @@
             }
             let own = |most: u32| most.saturating_sub(self.of_step_on(minion, id));
             let share = spec.max_per_minion.map_or(u32::MAX, own);
-            let fits = |available: &Resources| fits_times(available, &need).min(share.min(waiting));
+            let fits =
+                |available: &Resources| max_tasks_in(available, &need).min(share.min(waiting));
             let open = available
                 .free
                 .saturating_sub(&self.questions.earmarked(minion.number));
@@ -197,10 +198,10 @@
 /// part.
 fn max_candidates(terms: AdviceTerms) -> usize {
     if terms.per_minion.is_zero() {
-        return MAX_MINIONS_ASKED;
+        return MAX_MINIONS_PER_QUESTION;
     }
     let even = terms.base.as_secs_f64() / terms.per_minion.as_secs_f64();
-    (even as usize).clamp(FEWEST_ASKED, MAX_MINIONS_ASKED)
+    (even as usize).clamp(MIN_MINIONS_PER_QUESTION, MAX_MINIONS_PER_QUESTION)
 }
 
 /// As many of the best candidates as should yield tickets for twice the waiting tasks, each with
@@ -214,7 +215,7 @@
     let mut chosen = Vec::new();
     for candidate in candidates {
         let enough = places >= 2 * WEIGHT_ALLOWED * waiting;
-        if chosen.len() >= most || (enough && chosen.len() >= FEWEST_ASKED) {
+        if chosen.len() >= most || (enough && chosen.len() >= MIN_MINIONS_PER_QUESTION) {
             break;
         }
         let weight = if candidate.allowed {
