--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -42,7 +42,7 @@
 
 /// Answers of the policy service about one step, and the state of its questions.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Knowledge {
+pub(super) struct StepAdvice {
     /// Minions that may run the step. The policy never revokes this.
     allowed: BTreeSet<MinionNumber>,
     /// Minions that may not run the step.
@@ -57,13 +57,13 @@
     next_question: Timestamp,
 }
 
-impl Knowledge {
+impl StepAdvice {
     pub(super) fn ticket(&self, minion: MinionNumber) -> Option<CompactString> {
         self.tickets.get(&minion).map(|(ticket, _)| ticket.clone())
     }
 
     /// Minions with a ticket, including expired ones.
-    pub(super) fn ticketed(&self) -> impl Iterator<Item = MinionNumber> + '_ {
+    pub(super) fn minions_with_ticket(&self) -> impl Iterator<Item = MinionNumber> + '_ {
         self.tickets.keys().copied()
     }
 
@@ -124,14 +124,14 @@
         let Some(share) = self.available_share(step, turn) else {
             return;
         };
-        let entry = self.knowledge.entry(id).or_default();
+        let entry = self.step_advice.entry(id).or_default();
         if entry.is_asked() || now < entry.next_question {
             return;
         }
         let candidates = self.question_candidates(now, id, step, terms);
         if candidates.is_empty() {
-            if let Some(knowledge) = self.knowledge.get_mut(&id) {
-                knowledge.next_question = now + NO_CANDIDATE_PAUSE;
+            if let Some(step_advice) = self.step_advice.get_mut(&id) {
+                step_advice.next_question = now + NO_CANDIDATE_PAUSE;
             }
             return;
         }
@@ -144,9 +144,9 @@
             .questions
             .send(now, id, share, expected_use(step, id, &candidates));
         let question = asked.id;
-        if let Some(knowledge) = self.knowledge.get_mut(&id) {
-            knowledge.last_asked = Some(now);
-            knowledge.asked = Some(asked);
+        if let Some(step_advice) = self.step_advice.get_mut(&id) {
+            step_advice.last_asked = Some(now);
+            step_advice.asked = Some(asked);
         }
         self.out.push(Order::Advise(AdviceQuestion {
             id: question,
@@ -216,8 +216,8 @@
     /// the step has no policy.
     fn unasked_since(&self, id: StepId, step: &ReadyStep) -> Option<Timestamp> {
         step.queue.advice?;
-        let known = self.knowledge.get(&id);
-        if known.is_some_and(Knowledge::is_asked) {
+        let known = self.step_advice.get(&id);
+        if known.is_some_and(StepAdvice::is_asked) {
             return None;
         }
         known.and_then(|k| k.last_asked).max(Some(step.since))
@@ -230,8 +230,8 @@
     /// more.
     fn expire_lost_questions(&mut self, now: Timestamp) {
         while let Some(question) = self.questions.take_older(now, QUESTION_TIMEOUT) {
-            let knowledge = self.knowledge.get_mut(&question.step);
-            if let Some(lost) = knowledge.and_then(|k| k.take_pending(question)) {
+            let step_advice = self.step_advice.get_mut(&question.step);
+            if let Some(lost) = step_advice.and_then(|k| k.take_pending(question)) {
                 self.questions.over(&lost);
             }
         }
@@ -253,10 +253,10 @@
             return false;
         }
         let need = charged(spec);
-        let knowledge = self.knowledge.get(&id);
+        let step_advice = self.step_advice.get(&id);
         self.minions.values().any(|minion| {
             let open = || {
-                knowledge
+                step_advice
                     .is_none_or(|k| !k.forbids(minion.number) && !k.has_ticket(minion.number, now))
             };
             need.fits_in(&minion.free()) && open() && self.is_eligible(now, minion, id, step, spec)
@@ -277,9 +277,9 @@
                 continue;
             }
             let takes = terms.base + terms.per_minion * MIN_MINIONS_PER_QUESTION as u32;
-            let known = self.knowledge.get(id);
+            let known = self.step_advice.get(id);
             let has_ticket =
-                |k: &Knowledge| k.tickets.keys().any(|m| k.has_ticket(*m, now + takes));
+                |k: &StepAdvice| k.tickets.keys().any(|m| k.has_ticket(*m, now + takes));
             let expected_start = self.expected_start(now, *id, step);
             step.look_at = now + look_ahead_pause(now, expected_start, takes);
             if expected_start.is_some_and(|at| at < now + takes) && !known.is_some_and(has_ticket) {
@@ -300,8 +300,8 @@
     /// Removes the advice of a job's steps and stops counting their pending questions; late answers
     /// to these are ignored.
     pub(super) fn remove_step_advice(&mut self, job: JobId) {
-        for knowledge in remove_job(&mut self.knowledge, job).into_values() {
-            if let Some(asked) = knowledge.asked {
+        for step_advice in remove_job(&mut self.step_advice, job).into_values() {
+            if let Some(asked) = step_advice.asked {
                 self.questions.over(&asked);
             }
         }
@@ -325,10 +325,10 @@
             .and_then(|step| step.queue.advice)
             .map_or(Duration::ZERO, |terms| terms.validity);
         let waiting = step.map_or(0, |step| step.waiting.len());
-        let Some(knowledge) = self.knowledge.get_mut(&id) else {
+        let Some(step_advice) = self.step_advice.get_mut(&id) else {
             return;
         };
-        let Some(asked) = knowledge.take_pending(question) else {
+        let Some(asked) = step_advice.take_pending(question) else {
             return;
         };
         self.questions.over(&asked);
@@ -340,24 +340,26 @@
             took: now.saturating_sub(asked.at),
         })));
         let Some(advice) = advice else {
-            knowledge.next_question = now + QUESTION_RETRY_PAUSE;
+            step_advice.next_question = now + QUESTION_RETRY_PAUSE;
             return;
         };
         let mut good = BTreeSet::new();
         for (minion, ticket) in advice.good {
             if let Some(number) = self.by_id.get(&minion) {
                 good.insert(*number);
-                knowledge.allowed.insert(*number);
-                knowledge.tickets.insert(*number, (ticket, now + validity));
+                step_advice.allowed.insert(*number);
+                step_advice
+                    .tickets
+                    .insert(*number, (ticket, now + validity));
             }
         }
-        let before = knowledge.forbidden.len();
+        let before = step_advice.forbidden.len();
         let named = asked.minions.iter().map(|(minion, _)| *minion);
-        knowledge
+        step_advice
             .forbidden
             .extend(named.filter(|n| !good.contains(n)));
-        if good.is_empty() && knowledge.forbidden.len() == before {
-            knowledge.next_question = now + QUESTION_RETRY_PAUSE;
+        if good.is_empty() && step_advice.forbidden.len() == before {
+            step_advice.next_question = now + QUESTION_RETRY_PAUSE;
         }
         self.place_wanted = true;
     }
--- a/src/batch/dispatch/answers.rs
+++ b/src/batch/dispatch/answers.rs
@@ -42,8 +42,8 @@
         run.ordered.get_or_insert(now);
         run.deadline = run.deadline.max(deadline);
         minion.lease = minion.lease.max(deadline);
-        let knowledge = self.knowledge.get(&id.step);
-        let ticket = knowledge.and_then(|k| k.ticket(run.minion));
+        let step_advice = self.step_advice.get(&id.step);
+        let ticket = step_advice.and_then(|k| k.ticket(run.minion));
         let order = StartOrder {
             task: id,
             run: run.run,
@@ -158,8 +158,8 @@
         }
         match why {
             StartRefusal::Ticket => {
-                if let Some(knowledge) = self.knowledge.get_mut(&id.step) {
-                    knowledge.forget_ticket(number);
+                if let Some(step_advice) = self.step_advice.get_mut(&id.step) {
+                    step_advice.forget_ticket(number);
                 }
             }
             StartRefusal::Unhealthy => {
--- a/src/batch/dispatch/cell_report.rs
+++ b/src/batch/dispatch/cell_report.rs
@@ -66,7 +66,7 @@
     fn step_wait(&self, now: Timestamp, id: StepId, step: &ReadyStep, age: Duration) -> Event {
         let spec = &step.spec.steps[usize::from(id.step)];
         let need = charged(spec);
-        let knowledge = self.knowledge.get(&id);
+        let step_advice = self.step_advice.get(&id);
         let mut suitable = self.candidates(id, step);
         suitable.retain(|m| self.suits(now, m, id, step, spec));
         let with_room = suitable.iter().filter(|m| need.fits_in(&m.free()));
@@ -74,10 +74,10 @@
             step: id,
             waiting: step.waiting.len(),
             age,
-            good: knowledge.map_or(0, |k| k.allowed_count()),
+            good: step_advice.map_or(0, |k| k.allowed_count()),
             tickets: suitable.len(),
             room: with_room.count(),
-            asked: knowledge.is_some_and(|k| k.is_asked()),
+            asked: step_advice.is_some_and(|k| k.is_asked()),
             limited: !self.is_allowed(step, spec),
             surplus: step.is_surplus(),
         }
--- a/src/batch/dispatch/claims.rs
+++ b/src/batch/dispatch/claims.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::advice::Knowledge;
+use super::advice::StepAdvice;
 use super::mechanisms::Mechanism;
 use super::minion::Minion;
 use super::run::{Run, RunState, charged};
@@ -355,7 +355,7 @@
             waiting.is_strict() && !stays
         };
         let mut best: Option<Place> = None;
-        for minion in self.listed_minions(waiting.id, waiting.step, Knowledge::allowed) {
+        for minion in self.listed_minions(waiting.id, waiting.step, StepAdvice::allowed) {
             if !self.could_run(minion, waiting) {
                 continue;
             }
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -41,7 +41,7 @@
 use super::model::{Configuration, JobId, MinionNumber, MinionReport, StepId, TaskId};
 use crate::ids::{MinionId, ServiceName, Term, Timestamp};
 
-use advice::Knowledge;
+use advice::StepAdvice;
 use crashes::Suspicion;
 pub use mechanisms::{Mechanism, Mechanisms};
 use minion::{CLOCK_RATE, Minion};
@@ -93,7 +93,7 @@
     /// Steps whose unfinished predecessor tasks are all running.
     coming: BTreeMap<StepId, ReadyStep>,
     dirty_jobs: BTreeSet<JobId>,
-    knowledge: BTreeMap<StepId, Knowledge>,
+    step_advice: BTreeMap<StepId, StepAdvice>,
     /// Unanswered questions to the policy service.
     questions: questions::Questions,
     /// Time of the next search for steps that went without a question for too long.
@@ -165,7 +165,7 @@
             ready: BTreeMap::new(),
             coming: BTreeMap::new(),
             dirty_jobs: BTreeSet::new(),
-            knowledge: BTreeMap::new(),
+            step_advice: BTreeMap::new(),
             questions: questions::Questions::default(),
             passed_over_at: now,
             agents: 1,
--- a/src/batch/dispatch/place.rs
+++ b/src/batch/dispatch/place.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::advice::{Knowledge, Turn};
+use super::advice::{StepAdvice, Turn};
 use super::crashes::Suspicion;
 use super::mechanisms::Mechanism;
 use super::minion::Minion;
@@ -174,7 +174,7 @@
     /// Minions that may have a ticket for a step; all minions where its queue has no policy. Few
     /// have a ticket, so the others aren't examined.
     pub(super) fn candidates(&self, id: StepId, step: &ReadyStep) -> Vec<&Minion> {
-        self.listed_minions(id, step, Knowledge::ticketed)
+        self.listed_minions(id, step, StepAdvice::minions_with_ticket)
     }
 
     /// Minions of one of the lists in the policy state of a step; all minions where its queue has
@@ -183,12 +183,12 @@
         &'a self,
         id: StepId,
         step: &ReadyStep,
-        list: impl Fn(&'a Knowledge) -> I,
+        list: impl Fn(&'a StepAdvice) -> I,
     ) -> Vec<&'a Minion> {
         if step.queue.advice.is_none() {
             return self.minions.values().collect();
         }
-        let listed = self.knowledge.get(&id).into_iter().flat_map(list);
+        let listed = self.step_advice.get(&id).into_iter().flat_map(list);
         listed
             .filter_map(|number| self.minions.get(&number))
             .collect()
@@ -225,7 +225,7 @@
         self.is_eligible(now, minion, id, step, spec)
             && (step.queue.advice.is_none()
                 || self
-                    .knowledge
+                    .step_advice
                     .get(&id)
                     .is_some_and(|k| k.has_ticket(minion.number, now)))
     }
--- a/src/batch/dispatch/question_candidates.rs
+++ b/src/batch/dispatch/question_candidates.rs
@@ -88,7 +88,7 @@
         // New tickets should arrive before the current ones expire.
         let lead_time = terms.base + terms.per_minion * most as u32;
         let availabilities = self.availabilities(now, step.queue.priority);
-        let Some(knowledge) = self.knowledge.get(&id) else {
+        let Some(step_advice) = self.step_advice.get(&id) else {
             return Vec::new();
         };
         let spec = &step.spec.steps[usize::from(id.step)];
@@ -108,8 +108,8 @@
             // A ticket for a minion that already runs its maximum of the step would be useless, and
             // such minions could displace all others when few tasks are left.
             if !self.is_eligible(now, minion, id, step, spec)
-                || knowledge.forbids(minion.number)
-                || knowledge.has_ticket(minion.number, now + lead_time)
+                || step_advice.forbids(minion.number)
+                || step_advice.has_ticket(minion.number, now + lead_time)
                 || !need.fits_in(&minion.report.capacity)
             {
                 continue;
@@ -133,7 +133,7 @@
                 let soon = need.fits_in(&available.soon);
                 (if soon { WEIGHT_SOON } else { WEIGHT_LATER }, 0)
             });
-            let allowed = knowledge.allows(minion.number);
+            let allowed = step_advice.allows(minion.number);
             let slowness = self.speeds.slowness(&minion.pace);
             candidates.push(Candidate {
                 reserved: step.is_lasting() && self.claims.of_step_on(minion.number, id) > 0,
