--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -7,7 +7,7 @@
 use compact_str::CompactString;
 
 use super::order::{Advice, AdviceQuestion, Order, QuestionId};
-use super::questions::{Asked, Share};
+use super::questions::{PendingQuestion, QuestionClass};
 use super::ready::remove_job;
 use super::run::charged;
 use super::{Dispatcher, ReadyStep};
@@ -50,7 +50,7 @@
     /// Tickets, each with the end of its validity.
     tickets: BTreeMap<MinionNumber, (CompactString, Timestamp)>,
     /// The question that was sent and is not answered.
-    asked: Option<Asked>,
+    asked: Option<PendingQuestion>,
     /// When the latest question was sent.
     last_asked: Option<Timestamp>,
     /// No question is sent before this time.
@@ -100,7 +100,7 @@
     }
 
     /// Removes and returns the pending question if it has this id.
-    fn take_pending(&mut self, question: QuestionId) -> Option<Asked> {
+    fn take_pending(&mut self, question: QuestionId) -> Option<PendingQuestion> {
         self.asked.take_if(|asked| asked.id == question)
     }
 
@@ -118,10 +118,10 @@
         id: StepId,
         step: &ReadyStep,
         terms: AdviceTerms,
-        turn: Turn,
+        reason: QuestionReason,
     ) {
         self.expire_lost_questions(now);
-        let Some(share) = self.available_share(step, turn) else {
+        let Some(class) = self.available_class(step, reason) else {
             return;
         };
         let entry = self.step_advice.entry(id).or_default();
@@ -142,7 +142,7 @@
         let cost = terms.base + terms.per_minion * minions.len() as u32;
         let asked = self
             .questions
-            .send(now, id, share, expected_use(step, id, &candidates));
+            .send(now, id, class, expected_use(step, id, &candidates));
         let question = asked.id;
         if let Some(step_advice) = self.step_advice.get_mut(&id) {
             step_advice.last_asked = Some(now);
@@ -155,22 +155,22 @@
         }));
     }
 
-    /// The share that a question about a step may count against; `None` while all of its shares are
+    /// The class that a question about a step may count against; `None` while all of its limits are
     /// used up.
-    fn available_share(&self, step: &ReadyStep, turn: Turn) -> Option<Share> {
-        let ordinary = match (step.queue.priority, turn) {
-            (0, Turn::Coming) => self.agents,
+    fn available_class(&self, step: &ReadyStep, reason: QuestionReason) -> Option<QuestionClass> {
+        let ordinary = match (step.queue.priority, reason) {
+            (0, QuestionReason::Coming) => self.agents,
             (0, _) => self.agents * 2,
-            (_, Turn::Coming) => self.agents / 3,
+            (_, QuestionReason::Coming) => self.agents / 3,
             (_, _) => self.agents * 2 / 3,
         };
-        let own = match turn {
-            Turn::PassedOver => Some(Share::PassedOver),
-            Turn::Now if step.is_lasting() => Some(Share::Lasting),
+        let own = match reason {
+            QuestionReason::PassedOver => Some(QuestionClass::PassedOver),
+            QuestionReason::Now if step.is_lasting() => Some(QuestionClass::Lasting),
             _ => None,
         };
-        let mut shares = std::iter::once(Share::Ordinary).chain(own);
-        shares.find(|share| self.questions.may_send(*share, self.agents, ordinary))
+        let mut classes = std::iter::once(QuestionClass::Ordinary).chain(own);
+        classes.find(|class| self.questions.may_send(*class, self.agents, ordinary))
     }
 
     /// Asks about steps that had no question for long although there is room for them, longest
@@ -196,7 +196,10 @@
             let Some(step) = self.ready.get(&id) else {
                 continue;
             };
-            if self.available_share(step, Turn::PassedOver).is_none() {
+            if self
+                .available_class(step, QuestionReason::PassedOver)
+                .is_none()
+            {
                 return;
             }
             let spec = &step.spec.steps[usize::from(id.step)];
@@ -206,7 +209,7 @@
             if let Some(terms) = step.queue.advice
                 && let Some(step) = self.ready.remove(&id)
             {
-                self.ask(now, id, &step, terms, Turn::PassedOver);
+                self.ask(now, id, &step, terms, QuestionReason::PassedOver);
                 self.ready.insert(id, step);
             }
         }
@@ -232,7 +235,7 @@
         while let Some(question) = self.questions.take_older(now, QUESTION_TIMEOUT) {
             let step_advice = self.step_advice.get_mut(&question.step);
             if let Some(lost) = step_advice.and_then(|k| k.take_pending(question)) {
-                self.questions.over(&lost);
+                self.questions.remove(&lost);
             }
         }
     }
@@ -283,7 +286,7 @@
             let expected_start = self.expected_start(now, *id, step);
             step.look_at = now + look_ahead_pause(now, expected_start, takes);
             if expected_start.is_some_and(|at| at < now + takes) && !known.is_some_and(has_ticket) {
-                self.ask(now, *id, step, terms, Turn::Coming);
+                self.ask(now, *id, step, terms, QuestionReason::Coming);
             }
         }
         self.coming = coming;
@@ -302,7 +305,7 @@
     pub(super) fn remove_step_advice(&mut self, job: JobId) {
         for step_advice in remove_job(&mut self.step_advice, job).into_values() {
             if let Some(asked) = step_advice.asked {
-                self.questions.over(&asked);
+                self.questions.remove(&asked);
             }
         }
     }
@@ -331,7 +334,7 @@
         let Some(asked) = step_advice.take_pending(question) else {
             return;
         };
-        self.questions.over(&asked);
+        self.questions.remove(&asked);
         self.out.push(Order::Event(Box::new(Event::StepAdvised {
             step: id,
             waiting,
@@ -395,7 +398,7 @@
 
 /// Why a question about a step is sent; selects the limit that it counts against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Turn {
+pub(super) enum QuestionReason {
     /// The step's tasks may start now.
     Now,
     /// The steps that it depends on still run.
--- a/src/batch/dispatch/place.rs
+++ b/src/batch/dispatch/place.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::advice::{StepAdvice, Turn};
+use super::advice::{QuestionReason, StepAdvice};
 use super::crashes::Suspicion;
 use super::mechanisms::Mechanism;
 use super::minion::Minion;
@@ -98,7 +98,7 @@
             self.claim_room(now, unix, id, &step);
         }
         if let Some(terms) = step.queue.advice {
-            self.ask(now, id, &step, terms, Turn::Now);
+            self.ask(now, id, &step, terms, QuestionReason::Now);
         }
         if !step.is_lasting() {
             self.claim_room(now, unix, id, &step);
@@ -118,7 +118,7 @@
         spec: &StepSpec,
     ) {
         if let Some(terms) = step.queue.advice {
-            self.ask(now, id, step, terms, Turn::Now);
+            self.ask(now, id, step, terms, QuestionReason::Now);
         }
         self.make_room_in_limit(now, unix, id, step, spec);
     }
--- a/src/batch/dispatch/questions.rs
+++ b/src/batch/dispatch/questions.rs
@@ -9,10 +9,10 @@
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
-/// The limit that a question counts against. Each share has its own limit, which the others can't
+/// The limit that a question counts against. Each class has its own limit, which the others can't
 /// use up, so that steps late in the order of service are asked about however many precede them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Share {
+pub(super) enum QuestionClass {
     /// Steps in the order of service.
     Ordinary,
     /// Lasting tasks, whose service is down while they have no run.
@@ -27,15 +27,15 @@
 
 /// A pending question.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
+pub(super) struct PendingQuestion {
     pub(super) id: QuestionId,
-    share: Share,
+    class: QuestionClass,
     pub(super) at: Timestamp,
     /// Minions that it names, and the resources that it earmarks there.
     pub(super) minions: Vec<(MinionNumber, Resources)>,
 }
 
-/// Pending questions, counted by share.
+/// Pending questions, counted by class.
 #[derive(Debug, Default)]
 pub(super) struct Questions {
     /// Number of the latest question.
@@ -55,14 +55,14 @@
         self.ordinary + self.lasting + self.passed_over
     }
 
-    /// Whether another question of a share may be sent. `agents` is the number of processes that
-    /// can send one, `ordinary` the limit of the ordinary share.
-    pub(super) fn may_send(&self, share: Share, agents: usize, ordinary: usize) -> bool {
+    /// Whether another question of a class may be sent. `agents` is the number of processes that
+    /// can send one, `ordinary` the limit of the ordinary class.
+    pub(super) fn may_send(&self, class: QuestionClass, agents: usize, ordinary: usize) -> bool {
         let reserved = agents / AGENTS_PER_RESERVED;
-        match share {
-            Share::Ordinary => self.ordinary < ordinary.max(1),
-            Share::Lasting => self.lasting < reserved.max(1),
-            Share::PassedOver => self.passed_over < reserved.max(1),
+        match class {
+            QuestionClass::Ordinary => self.ordinary < ordinary.max(1),
+            QuestionClass::Lasting => self.lasting < reserved.max(1),
+            QuestionClass::PassedOver => self.passed_over < reserved.max(1),
         }
     }
 
@@ -71,10 +71,10 @@
         &mut self,
         now: Timestamp,
         step: StepId,
-        share: Share,
+        class: QuestionClass,
         minions: Vec<(MinionNumber, Resources)>,
-    ) -> Asked {
-        *self.counter(share) += 1;
+    ) -> PendingQuestion {
+        *self.counter(class) += 1;
         self.last += 1;
         let number = self.last;
         let id = QuestionId { step, number };
@@ -83,17 +83,17 @@
             let counted = self.earmarked.entry(*minion).or_default();
             *counted = counted.saturating_add(room);
         }
-        Asked {
+        PendingQuestion {
             id,
-            share,
+            class,
             at: now,
             minions,
         }
     }
 
     /// Removes a question that was answered or given up.
-    pub(super) fn over(&mut self, asked: &Asked) {
-        *self.counter(asked.share) -= 1;
+    pub(super) fn remove(&mut self, asked: &PendingQuestion) {
+        *self.counter(asked.class) -= 1;
         for (minion, room) in &asked.minions {
             if let Entry::Occupied(mut counted) = self.earmarked.entry(*minion) {
                 let left = counted.get().saturating_sub(room);
@@ -123,11 +123,11 @@
         self.sent.pop_front().map(|(_, question)| question)
     }
 
-    fn counter(&mut self, share: Share) -> &mut usize {
-        match share {
-            Share::Ordinary => &mut self.ordinary,
-            Share::Lasting => &mut self.lasting,
-            Share::PassedOver => &mut self.passed_over,
+    fn counter(&mut self, class: QuestionClass) -> &mut usize {
+        match class {
+            QuestionClass::Ordinary => &mut self.ordinary,
+            QuestionClass::Lasting => &mut self.lasting,
+            QuestionClass::PassedOver => &mut self.passed_over,
         }
     }
 }
