--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -50,7 +50,7 @@
     /// Tickets, each with the end of its validity.
     tickets: BTreeMap<MinionNumber, (CompactString, Timestamp)>,
     /// The question that was sent and is not answered.
-    asked: Option<PendingQuestion>,
+    pending: Option<PendingQuestion>,
     /// When the latest question was sent.
     last_asked: Option<Timestamp>,
     /// No question is sent before this time.
@@ -96,12 +96,12 @@
 
     /// Whether a question was sent and is not answered.
     pub(super) fn is_asked(&self) -> bool {
-        self.asked.is_some()
+        self.pending.is_some()
     }
 
     /// Removes and returns the pending question if it has this id.
     fn take_pending(&mut self, question: QuestionId) -> Option<PendingQuestion> {
-        self.asked.take_if(|asked| asked.id == question)
+        self.pending.take_if(|asked| asked.id == question)
     }
 
     pub(super) fn forget_ticket(&mut self, minion: MinionNumber) {
@@ -146,7 +146,7 @@
         let question = asked.id;
         if let Some(step_advice) = self.step_advice.get_mut(&id) {
             step_advice.last_asked = Some(now);
-            step_advice.asked = Some(asked);
+            step_advice.pending = Some(asked);
         }
         self.out.push(Order::Advise(AdviceQuestion {
             id: question,
@@ -304,7 +304,7 @@
     /// to these are ignored.
     pub(super) fn remove_step_advice(&mut self, job: JobId) {
         for step_advice in remove_job(&mut self.step_advice, job).into_values() {
-            if let Some(asked) = step_advice.asked {
+            if let Some(asked) = step_advice.pending {
                 self.questions.remove(&asked);
             }
         }
