--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -159,9 +159,9 @@
     /// used up.
     fn available_class(&self, step: &ReadyStep, reason: QuestionReason) -> Option<QuestionClass> {
         let ordinary = match (step.queue.priority, reason) {
-            (0, QuestionReason::Coming) => self.agents,
+            (0, QuestionReason::Upcoming) => self.agents,
             (0, _) => self.agents * 2,
-            (_, QuestionReason::Coming) => self.agents / 3,
+            (_, QuestionReason::Upcoming) => self.agents / 3,
             (_, _) => self.agents * 2 / 3,
         };
         let own = match reason {
@@ -271,8 +271,8 @@
     /// Without this, a check of two steps waited 50 ms between its steps, and long work 0.7 s and
     /// more, since tickets were only requested once the step was ready.
     pub(super) fn ask_ahead(&mut self, now: Timestamp) {
-        let mut coming = std::mem::take(&mut self.coming);
-        for (id, step) in &mut coming {
+        let mut upcoming = std::mem::take(&mut self.upcoming);
+        for (id, step) in &mut upcoming {
             let Some(terms) = step.queue.advice else {
                 continue;
             };
@@ -286,10 +286,10 @@
             let expected_start = self.expected_start(now, *id, step);
             step.look_at = now + look_ahead_pause(now, expected_start, takes);
             if expected_start.is_some_and(|at| at < now + takes) && !known.is_some_and(has_ticket) {
-                self.ask(now, *id, step, terms, QuestionReason::Coming);
+                self.ask(now, *id, step, terms, QuestionReason::Upcoming);
             }
         }
-        self.coming = coming;
+        self.upcoming = upcoming;
     }
 
     /// When the last task that a step depends on should end; `None` if no such end is known.
@@ -323,7 +323,7 @@
     /// a gang of 45 in a half-empty cell was never asked about again.
     pub fn advised(&mut self, now: Timestamp, question: QuestionId, advice: Option<Advice>) {
         let id = question.step;
-        let step = self.ready.get(&id).or_else(|| self.coming.get(&id));
+        let step = self.ready.get(&id).or_else(|| self.upcoming.get(&id));
         let validity = step
             .and_then(|step| step.queue.advice)
             .map_or(Duration::ZERO, |terms| terms.validity);
@@ -402,7 +402,7 @@
     /// The step's tasks may start now.
     Now,
     /// The steps that it depends on still run.
-    Coming,
+    Upcoming,
     /// The step's tasks may start now, and it had no question for long.
     PassedOver,
 }
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -91,7 +91,7 @@
     runs: BTreeMap<TaskId, Run>,
     ready: BTreeMap<StepId, ReadyStep>,
     /// Steps whose unfinished predecessor tasks are all running.
-    coming: BTreeMap<StepId, ReadyStep>,
+    upcoming: BTreeMap<StepId, ReadyStep>,
     dirty_jobs: BTreeSet<JobId>,
     step_advice: BTreeMap<StepId, StepAdvice>,
     /// Unanswered questions to the policy service.
@@ -163,7 +163,7 @@
             next_minion: ledger.next_minion,
             runs: BTreeMap::new(),
             ready: BTreeMap::new(),
-            coming: BTreeMap::new(),
+            upcoming: BTreeMap::new(),
             dirty_jobs: BTreeSet::new(),
             step_advice: BTreeMap::new(),
             questions: questions::Questions::default(),
--- a/src/batch/dispatch/ready.rs
+++ b/src/batch/dispatch/ready.rs
@@ -121,11 +121,11 @@
         order.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Rebuilds the ready and coming steps of all changed jobs.
+    /// Rebuilds the ready and upcoming steps of all changed jobs.
     pub(super) fn refresh_ready(&mut self, now: Timestamp, ledger: &Ledger) {
         for id in std::mem::take(&mut self.dirty_jobs) {
             let before = remove_job(&mut self.ready, id);
-            remove_job(&mut self.coming, id);
+            remove_job(&mut self.upcoming, id);
             let Some(job) = ledger.jobs.get(&id) else {
                 continue;
             };
@@ -133,10 +133,10 @@
                 let since = before.get(&step).map_or(now, |before| before.since);
                 self.add_ready(job, step, since);
             }
-            for step in ledger.coming_steps(id) {
+            for step in ledger.upcoming_steps(id) {
                 let count = job.spec.steps[usize::from(step.step)].count;
-                let coming = self.ready_step(job, step, (0..count).collect(), now);
-                self.coming.insert(step, coming);
+                let upcoming = self.ready_step(job, step, (0..count).collect(), now);
+                self.upcoming.insert(step, upcoming);
             }
         }
     }
--- a/src/batch/ledger/queries.rs
+++ b/src/batch/ledger/queries.rs
@@ -123,7 +123,7 @@
     }
 
     /// Steps of an open job whose dependencies are not all done, but have all their tasks started.
-    pub fn coming_steps(&self, id: JobId) -> Vec<StepId> {
+    pub fn upcoming_steps(&self, id: JobId) -> Vec<StepId> {
         self.steps_where(id, |occurrence, _, spec| {
             !occurrence.is_ready(spec) && occurrence.has_started_dependencies(spec)
         })
