--- a/src/batch/dispatch/answers.rs
+++ b/src/batch/dispatch/answers.rs
@@ -199,7 +199,7 @@
         let Some(minion) = self.minions.get_mut(&number) else {
             return;
         };
-        self.touched.insert(number);
+        self.changed_minions.insert(number);
         if let Answer::Silent(silence) = answer {
             minion.record_failed_call(sent, *silence, now);
         }
--- a/src/batch/dispatch/holds.rs
+++ b/src/batch/dispatch/holds.rs
@@ -52,16 +52,18 @@
     ///
     /// Called after every answer. Scanning all minions each time would make the work per answer
     /// grow with the cell, so between full scans only minions with a recent event are checked.
-    pub(super) fn tend_minions(&mut self, now: Timestamp) {
-        let touched = std::mem::take(&mut self.touched);
+    pub(super) fn maintain_minions(&mut self, now: Timestamp) {
+        let changed_minions = std::mem::take(&mut self.changed_minions);
         let needs_maintenance = |m: &&Minion| m.needs_maintenance(now);
-        let due: Vec<_> = if now >= self.tend_at {
-            self.tend_at = now + SCAN_INTERVAL;
+        let due: Vec<_> = if now >= self.next_minion_scan {
+            self.next_minion_scan = now + SCAN_INTERVAL;
             let due = self.minions.values().filter(needs_maintenance);
             due.map(|m| m.number).collect()
         } else {
-            let touched = touched.iter().filter_map(|number| self.minions.get(number));
-            touched
+            let changed_minions = changed_minions
+                .iter()
+                .filter_map(|number| self.minions.get(number));
+            changed_minions
                 .filter(needs_maintenance)
                 .map(|m| m.number)
                 .collect()
@@ -173,7 +175,7 @@
         if sent < self.began {
             return;
         }
-        self.touched.insert(number);
+        self.changed_minions.insert(number);
         let Some(minion) = self.minions.get_mut(&number) else {
             return;
         };
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -117,9 +117,9 @@
     /// Changes collected for the next batch.
     batch: Batch,
     /// Minions whose state changed since their last maintenance.
-    touched: BTreeSet<MinionNumber>,
+    changed_minions: BTreeSet<MinionNumber>,
     /// Time of the next maintenance of all minions.
-    tend_at: Timestamp,
+    next_minion_scan: Timestamp,
     /// Minions with ends that were received and are not acknowledged.
     unacknowledged: BTreeSet<MinionNumber>,
     /// For each uncommitted batch, the last end received from each minion; acknowledged on commit.
@@ -177,8 +177,8 @@
             shares: share::ExcessJobs::default(),
             claims: claims::Claims::default(),
             batch: Batch::default(),
-            touched: BTreeSet::new(),
-            tend_at: now,
+            changed_minions: BTreeSet::new(),
+            next_minion_scan: now,
             unacknowledged: BTreeSet::new(),
             batches: Default::default(),
             unreadable_told: None,
@@ -277,7 +277,7 @@
         minion.rack = self.rack_of(&minion.report);
         self.next_minion = self.next_minion.max(minion.number + 1);
         self.by_id.insert(minion.report.id.clone(), minion.number);
-        self.touched.insert(minion.number);
+        self.changed_minions.insert(minion.number);
         self.utilizations.changed();
         self.minions.insert(minion.number, minion);
     }
@@ -317,7 +317,7 @@
 
     fn add_run(&mut self, id: TaskId, run: Run) {
         self.forget_releases(run.minion);
-        self.touched.insert(run.minion);
+        self.changed_minions.insert(run.minion);
         self.utilizations.changed();
         if let Some(minion) = self.minions.get_mut(&run.minion) {
             minion.used = minion.used.saturating_add(&run.need);
@@ -372,7 +372,7 @@
         self.begin_due_occurrences(unix);
         self.refresh_capacities(now);
         self.refresh_ready(now, ledger);
-        self.tend_minions(now);
+        self.maintain_minions(now);
         let may_propose = self.batches.len() < MAX_UNCOMMITTED_BATCHES;
         let wanted = self.place_wanted && now >= self.place_not_before;
         if may_propose && (wanted || now >= self.place_at) {
--- a/src/batch/dispatch/reports.rs
+++ b/src/batch/dispatch/reports.rs
@@ -19,7 +19,7 @@
         let at_same_addr = |m: &&mut Minion| m.report.addr == report.addr;
         for old in self.minions.values_mut().filter(at_same_addr) {
             old.displaced(now);
-            self.touched.insert(old.number);
+            self.changed_minions.insert(old.number);
         }
         self.emit(Event::MinionJoined {
             minion: report.id.clone(),
@@ -41,13 +41,13 @@
                 // The report is from an earlier incarnation, or from a new one whose host's clock
                 // was set back. The next call will show which.
                 minion.displaced(now);
-                self.touched.insert(number);
+                self.changed_minions.insert(number);
                 return;
             }
             _ => {}
         }
         minion.reported = now;
-        self.touched.insert(number);
+        self.changed_minions.insert(number);
         if report.sequence < minion.report.sequence {
             return;
         }
@@ -94,7 +94,7 @@
             self.batch.draining.push(minion.number);
         }
         minion.left(now);
-        self.touched.insert(minion.number);
+        self.changed_minions.insert(minion.number);
         let event = Event::MinionLeft {
             minion: id.clone(),
             runs: minion.runs.len(),
