--- a/src/batch/dispatch/holds.rs
+++ b/src/batch/dispatch/holds.rs
@@ -234,7 +234,7 @@
         if minion.silent_calls == 0 {
             return;
         }
-        let idle = minion.runs.is_empty() && minion.strays.is_empty();
+        let idle = minion.runs.is_empty() && minion.orphaned_runs.is_empty();
         let is_ending = minion.presence != Presence::Present;
         let no_report = now > minion.reported + REMOVE_IDLE_AFTER;
         if idle && (no_report || is_ending) && minion.lease_over(now) {
@@ -259,8 +259,8 @@
         if let Some(minion) = self.minions.get_mut(&number) {
             minion.lapsed.extend(suspects);
             minion.used = Resources::default();
-            let strays = std::mem::take(&mut minion.strays);
-            self.discharge(&strays);
+            let orphaned_runs = std::mem::take(&mut minion.orphaned_runs);
+            self.stop_charging(&orphaned_runs);
         }
     }
 
--- a/src/batch/dispatch/listings.rs
+++ b/src/batch/dispatch/listings.rs
@@ -85,8 +85,8 @@
         }
         minion.seen_end = end.number;
         self.unacknowledged.insert(number);
-        if let Some(orphan) = minion.strays.remove(&(end.task, end.run)) {
-            self.orphan_over(number, end.task, end.run, &orphan);
+        if let Some(orphan) = minion.orphaned_runs.remove(&(end.task, end.run)) {
+            self.orphan_ended(number, end.task, end.run, &orphan);
         }
         let is_tracked = self
             .runs
@@ -217,7 +217,7 @@
         let Some(minion) = self.minions.get_mut(&number) else {
             return;
         };
-        let due = match minion.strays.get_mut(&(task, run)) {
+        let due = match minion.orphaned_runs.get_mut(&(task, run)) {
             Some(orphan) => {
                 let due = now >= orphan.stop_sent + ORPHAN_STOP_INTERVAL;
                 if due {
@@ -231,7 +231,7 @@
                 if let Some(charge) = orphan.charge(task, run) {
                     self.quotas.add(charge);
                 }
-                minion.strays.insert((task, run), orphan);
+                minion.orphaned_runs.insert((task, run), orphan);
                 true
             }
         };
@@ -306,7 +306,7 @@
         };
         // An orphaned run that is listed neither as running nor as ended has ended before.
         let mut over = Vec::new();
-        minion.strays.retain(|(task, run), orphan| {
+        minion.orphaned_runs.retain(|(task, run), orphan| {
             let stays = listed(*task, *run) || orphan.stop_sent >= sent;
             if !stays {
                 over.push((*task, *run, orphan.clone()));
@@ -314,20 +314,23 @@
             stays
         });
         for (task, run, orphan) in over {
-            self.orphan_over(number, task, run, &orphan);
+            self.orphan_ended(number, task, run, &orphan);
         }
     }
 
     /// Stops counting orphaned runs that are over against the limits of their workspaces.
-    pub(super) fn discharge(&mut self, strays: &BTreeMap<(TaskId, RunNumber), OrphanedRun>) {
-        for ((task, run), orphan) in strays {
+    pub(super) fn stop_charging(
+        &mut self,
+        orphaned_runs: &BTreeMap<(TaskId, RunNumber), OrphanedRun>,
+    ) {
+        for ((task, run), orphan) in orphaned_runs {
             if let Some(charge) = orphan.charge(*task, *run) {
                 self.quotas.remove(charge);
             }
         }
     }
 
-    fn orphan_over(
+    fn orphan_ended(
         &mut self,
         number: MinionNumber,
         task: TaskId,
--- a/src/batch/dispatch/minion.rs
+++ b/src/batch/dispatch/minion.rs
@@ -155,7 +155,7 @@
     pub(super) serving: u32,
     pub(super) runs: BTreeSet<TaskId>,
     /// Runs that it lists but that the leader doesn't track there.
-    pub(super) strays: BTreeMap<(TaskId, RunNumber), OrphanedRun>,
+    pub(super) orphaned_runs: BTreeMap<(TaskId, RunNumber), OrphanedRun>,
     /// Number of runs on trial; nothing else starts beside one.
     pub(super) trials: u32,
     /// Suspected runs whose lease expired while it was silent. They count as causes of its crash if
@@ -198,7 +198,7 @@
             filling: 0,
             serving: 0,
             runs: BTreeSet::new(),
-            strays: BTreeMap::new(),
+            orphaned_runs: BTreeMap::new(),
             trials: 0,
             lapsed: Vec::new(),
             unsettled: Vec::new(),
@@ -445,6 +445,6 @@
 
     /// Whether it has, or may have, runs or unacknowledged ends.
     pub(super) fn is_busy(&self) -> bool {
-        !self.runs.is_empty() || !self.strays.is_empty() || self.seen_end > self.acked_end
+        !self.runs.is_empty() || !self.orphaned_runs.is_empty() || self.seen_end > self.acked_end
     }
 }
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -297,7 +297,7 @@
         }
         self.unacknowledged.remove(&minion.number);
         self.forget_releases(minion.number);
-        self.discharge(&minion.strays);
+        self.stop_charging(&minion.orphaned_runs);
         self.batch.gone.push(minion.number);
     }
 
