--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -364,7 +364,7 @@
         if good.is_empty() && step_advice.forbidden.len() == before {
             step_advice.next_question = now + QUESTION_RETRY_PAUSE;
         }
-        self.place_wanted = true;
+        self.placement_requested = true;
     }
 }
 
--- a/src/batch/dispatch/crashes.rs
+++ b/src/batch/dispatch/crashes.rs
@@ -140,7 +140,7 @@
                 run.suspicion = Suspicion::Passed;
                 if let Some(minion) = self.minions.get_mut(&number) {
                     minion.trials -= 1;
-                    self.place_wanted = true;
+                    self.placement_requested = true;
                 }
             }
             Suspicion::Passed if now >= since + CLEARED_AFTER => {
--- a/src/batch/dispatch/listings.rs
+++ b/src/batch/dispatch/listings.rs
@@ -45,7 +45,7 @@
         let first_answer = !minion.fenced;
         minion.fenced = true;
         if first_answer {
-            self.place_wanted = true;
+            self.placement_requested = true;
         }
         // An unreadable row may be any run. If that run counted as absent, its task would be
         // started a second time.
@@ -65,11 +65,11 @@
     }
 
     fn report_unreadable(&mut self, now: Timestamp, number: MinionNumber, rows: u32) {
-        let logged = self.unreadable_told;
+        let logged = self.unreadable_logged_at;
         if logged.is_some_and(|at| now < at + UNREADABLE_LOG_INTERVAL) {
             return;
         }
-        self.unreadable_told = Some(now);
+        self.unreadable_logged_at = Some(now);
         if let Some(minion) = self.minions.get(&number) {
             let minion = minion.report.id.clone();
             self.emit(Event::RowsUnreadable { minion, rows });
@@ -343,7 +343,7 @@
         if let Some(charge) = orphan.charge(task, run) {
             self.quotas.remove(charge);
         }
-        self.place_wanted = true;
+        self.placement_requested = true;
     }
 }
 
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -125,9 +125,9 @@
     /// For each uncommitted batch, the last end received from each minion; acknowledged on commit.
     batches: VecDeque<Vec<(MinionNumber, u64)>>,
     /// Time of the last log line about unreadable rows.
-    unreadable_told: Option<Timestamp>,
+    unreadable_logged_at: Option<Timestamp>,
     /// Set when something that placement depends on has changed.
-    place_wanted: bool,
+    placement_requested: bool,
     /// Earliest next placement round after a change.
     place_not_before: Timestamp,
     /// Next placement round without a change.
@@ -181,8 +181,8 @@
             next_minion_scan: now,
             unacknowledged: BTreeSet::new(),
             batches: Default::default(),
-            unreadable_told: None,
-            place_wanted: true,
+            unreadable_logged_at: None,
+            placement_requested: true,
             place_not_before: now,
             place_at: now,
             timetable: BTreeSet::new(),
@@ -358,7 +358,7 @@
             minion.serving -= u32::from(run.serves);
             minion.trials -= u32::from(run.suspicion == Suspicion::Trial);
             self.utilizations.changed();
-            self.place_wanted = true;
+            self.placement_requested = true;
         }
     }
 
@@ -374,7 +374,7 @@
         self.refresh_ready(now, ledger);
         self.maintain_minions(now);
         let may_propose = self.batches.len() < MAX_UNCOMMITTED_BATCHES;
-        let wanted = self.place_wanted && now >= self.place_not_before;
+        let wanted = self.placement_requested && now >= self.place_not_before;
         if may_propose && (wanted || now >= self.place_at) {
             self.place(now, unix, ledger);
         }
--- a/src/batch/dispatch/place.rs
+++ b/src/batch/dispatch/place.rs
@@ -38,7 +38,7 @@
 impl Dispatcher {
     /// Runs one placement round over all ready steps, in the order of service.
     pub(super) fn place(&mut self, now: Timestamp, unix: Timestamp, ledger: &Ledger) {
-        self.place_wanted = false;
+        self.placement_requested = false;
         self.place_at = now + IDLE_PLACE_PAUSE;
         self.refresh_utilization(now);
         self.claims = self.claims.next_round(now);
@@ -48,7 +48,7 @@
         for id in &order {
             let id = *id;
             if started >= MAX_STARTS_PER_ROUND {
-                self.place_wanted = true;
+                self.placement_requested = true;
                 break;
             }
             let Some(step) = self.ready.remove(&id) else {
--- a/src/batch/dispatch/quota.rs
+++ b/src/batch/dispatch/quota.rs
@@ -187,7 +187,7 @@
         let limits = ledger.workspaces();
         self.quotas
             .set_limits(limits.map(|(name, workspace)| (name.clone(), workspace.limit)));
-        self.place_wanted = true;
+        self.placement_requested = true;
     }
 
     /// Whether the limit of a step's workspace lets any of its tasks start.
--- a/src/batch/dispatch/ready.rs
+++ b/src/batch/dispatch/ready.rs
@@ -154,7 +154,7 @@
         if waiting.is_empty() || !whole {
             return;
         }
-        self.place_wanted = true;
+        self.placement_requested = true;
         let step = self.ready_step(job, id, waiting, since);
         self.ready.insert(id, step);
     }
--- a/src/batch/dispatch/reports.rs
+++ b/src/batch/dispatch/reports.rs
@@ -82,7 +82,7 @@
         self.batch.resized.push((number, capacity));
         self.utilizations.changed();
         self.forget_releases(number);
-        self.place_wanted = true;
+        self.placement_requested = true;
     }
 
     /// Handles a minion's message that it is about to end.
--- a/src/batch/dispatch/restarts.rs
+++ b/src/batch/dispatch/restarts.rs
@@ -166,7 +166,7 @@
         }
         self.batch.joined.push((number, report));
         self.utilizations.changed();
-        self.place_wanted = true;
+        self.placement_requested = true;
     }
 }
 
