--- a/src/batch/dispatch/answers.rs
+++ b/src/batch/dispatch/answers.rs
@@ -5,7 +5,7 @@
 
 use super::Dispatcher;
 use super::crashes::GoneEvidence;
-use super::minion::UnsettledStart;
+use super::minion::UnansweredStart;
 use super::order::{Answer, MinionAnswer, MinionOrder, Order, OrderKind, StartOrder, StartRefusal};
 use super::run::{RunState, StopState};
 use crate::batch::event::Event;
@@ -117,12 +117,12 @@
             Answer::Silent(_) => {
                 run.state = RunState::InDoubt;
                 if let Some(minion) = self.minions.get_mut(&number) {
-                    let start = UnsettledStart {
+                    let start = UnansweredStart {
                         task: id,
                         run: run_number,
                         sent,
                     };
-                    minion.record_unsettled(start, now);
+                    minion.record_unanswered_start(start, now);
                 }
                 if tries < MAX_START_TRIES
                     && run.stop == StopState::No
--- a/src/batch/dispatch/minion.rs
+++ b/src/batch/dispatch/minion.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::STALE_ORDERS;
+use super::ORDER_EXPIRY;
 use super::crashes::GoneEvidence;
 use super::order::{Silence, Target};
 use super::quota::Charge;
@@ -71,16 +71,16 @@
 
 /// A start order without an answer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct UnsettledStart {
+pub(super) struct UnansweredStart {
     pub(super) task: TaskId,
     pub(super) run: RunNumber,
     pub(super) sent: Timestamp,
 }
 
-impl UnsettledStart {
+impl UnansweredStart {
     /// Whether the minion, or its next incarnation, may still carry the order out.
-    pub(super) fn may_come(&self, now: Timestamp) -> bool {
-        now < self.sent + STALE_ORDERS
+    pub(super) fn may_still_start(&self, now: Timestamp) -> bool {
+        now < self.sent + ORDER_EXPIRY
     }
 }
 
@@ -162,7 +162,7 @@
     /// it turns out that it crashed.
     pub(super) lapsed: Vec<Crash>,
     /// Unanswered starts that the next incarnation of this id may still carry out.
-    pub(super) unsettled: Vec<UnsettledStart>,
+    pub(super) unanswered_starts: Vec<UnansweredStart>,
     /// Consecutive failed runs and refused starts.
     pub(super) failures: u32,
     /// Run times observed on it.
@@ -201,7 +201,7 @@
             orphaned_runs: BTreeMap::new(),
             trials: 0,
             lapsed: Vec::new(),
-            unsettled: Vec::new(),
+            unanswered_starts: Vec::new(),
             failures: 0,
             pace: Pace::default(),
             avoid_until: Timestamp::ZERO,
@@ -406,9 +406,10 @@
 
     /// Records a start that got no answer by `now`, and drops those that can no longer be carried
     /// out.
-    pub(super) fn record_unsettled(&mut self, start: UnsettledStart, now: Timestamp) {
-        self.unsettled.retain(|start| start.may_come(now));
-        self.unsettled.push(start);
+    pub(super) fn record_unanswered_start(&mut self, start: UnansweredStart, now: Timestamp) {
+        self.unanswered_starts
+            .retain(|start| start.may_still_start(now));
+        self.unanswered_starts.push(start);
     }
 
     /// Whether a minion with its id that started at `started` is another incarnation.
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -61,7 +61,7 @@
 const LEASE_MARGIN: Duration = Duration::from_millis(300);
 
 /// An unanswered order is not carried out any more after this time.
-const STALE_ORDERS: Duration = Duration::from_secs(5);
+const ORDER_EXPIRY: Duration = Duration::from_secs(5);
 
 /// Limits of the platform, and the optional mechanisms in use.
 #[derive(Clone, Debug)]
--- a/src/batch/dispatch/restarts.rs
+++ b/src/batch/dispatch/restarts.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 use super::Dispatcher;
-use super::minion::{Minion, UnsettledStart};
+use super::minion::{Minion, UnansweredStart};
 use super::order::{MinionOrder, Order};
 use super::run::{Run, RunState, StopState};
-use super::{STALE_ORDERS, max_lease_on_local_clock};
+use super::{ORDER_EXPIRY, max_lease_on_local_clock};
 use crate::batch::event::Event;
 use crate::batch::ledger::Crash;
 use crate::batch::model::{EndKind, MinionNumber, MinionReport, Readiness, TaskId};
@@ -77,26 +77,26 @@
             self.suspects(&former, sent)
         };
         self.forget_minion(&former);
-        let unsettled = self.unsettled_starts(&former, now);
+        let unanswered = self.unanswered_starts(&former, now);
 
         let mut minion = Minion::new(self.next_minion, report, now);
         minion.unreported = source == RestartSource::List;
         // An order to the old incarnation may have granted the new one a lease, or may still do so.
-        let late = if unsettled.is_empty() {
+        let late = if unanswered.is_empty() {
             Duration::ZERO
         } else {
-            STALE_ORDERS
+            ORDER_EXPIRY
         };
         minion.assumed_until = now + max_lease_on_local_clock(self.cfg.lease_max) + late;
         let successor = minion.number;
-        minion.unsettled = unsettled.clone();
+        minion.unanswered_starts = unanswered.clone();
         let target = minion.target();
         self.add_incarnation(minion);
         for task in &former.runs {
             self.transfer_run(now, *task, successor, &suspects);
         }
         // After a stop order, a minion refuses to start the run.
-        for UnsettledStart { task, run, .. } in unsettled {
+        for UnansweredStart { task, run, .. } in unanswered {
             let transferred = self.runs.get(&task).is_some_and(|r| r.run == run);
             if !transferred {
                 let token = self.term;
@@ -107,17 +107,17 @@
     }
 
     /// Unanswered starts sent to the old incarnation that may still be carried out.
-    fn unsettled_starts(&self, former: &Minion, now: Timestamp) -> Vec<UnsettledStart> {
+    fn unanswered_starts(&self, former: &Minion, now: Timestamp) -> Vec<UnansweredStart> {
         let pending = former.runs.iter().filter_map(|task| {
             let run = self.runs.get(task)?;
-            (run.state == RunState::Starting).then_some(UnsettledStart {
+            (run.state == RunState::Starting).then_some(UnansweredStart {
                 task: *task,
                 run: run.run,
                 sent: now,
             })
         });
-        let unanswered = former.unsettled.iter().copied();
-        let unanswered = unanswered.filter(|start| start.may_come(now));
+        let unanswered = former.unanswered_starts.iter().copied();
+        let unanswered = unanswered.filter(|start| start.may_still_start(now));
         unanswered.chain(pending).collect()
     }
 
