--- a/src/batch/dispatch/holds.rs
+++ b/src/batch/dispatch/holds.rs
@@ -53,17 +53,15 @@
     /// Called after every answer. Scanning all minions each time would make the work per answer
     /// grow with the cell, so between full scans only minions with a recent event are checked.
     pub(super) fn maintain_minions(&mut self, now: Timestamp) {
-        let changed_minions = std::mem::take(&mut self.changed_minions);
+        let changed = std::mem::take(&mut self.changed_minions);
         let needs_maintenance = |m: &&Minion| m.needs_maintenance(now);
         let due: Vec<_> = if now >= self.next_minion_scan {
             self.next_minion_scan = now + SCAN_INTERVAL;
             let due = self.minions.values().filter(needs_maintenance);
             due.map(|m| m.number).collect()
         } else {
-            let changed_minions = changed_minions
-                .iter()
-                .filter_map(|number| self.minions.get(number));
-            changed_minions
+            let changed = changed.iter().filter_map(|number| self.minions.get(number));
+            changed
                 .filter(needs_maintenance)
                 .map(|m| m.number)
                 .collect()
@@ -259,8 +257,8 @@
         if let Some(minion) = self.minions.get_mut(&number) {
             minion.lapsed.extend(suspects);
             minion.used = Resources::default();
-            let orphaned_runs = std::mem::take(&mut minion.orphaned_runs);
-            self.stop_charging(&orphaned_runs);
+            let orphans = std::mem::take(&mut minion.orphaned_runs);
+            self.stop_charging(&orphans);
         }
     }
 
--- a/src/batch/dispatch/listings.rs
+++ b/src/batch/dispatch/listings.rs
@@ -319,11 +319,8 @@
     }
 
     /// Stops counting orphaned runs that are over against the limits of their workspaces.
-    pub(super) fn stop_charging(
-        &mut self,
-        orphaned_runs: &BTreeMap<(TaskId, RunNumber), OrphanedRun>,
-    ) {
-        for ((task, run), orphan) in orphaned_runs {
+    pub(super) fn stop_charging(&mut self, orphans: &BTreeMap<(TaskId, RunNumber), OrphanedRun>) {
+        for ((task, run), orphan) in orphans {
             if let Some(charge) = orphan.charge(*task, *run) {
                 self.quotas.remove(charge);
             }
