--- a/src/batch/dispatch/answers.rs
+++ b/src/batch/dispatch/answers.rs
@@ -112,7 +112,7 @@
             }
             Answer::Refused { why, .. } => {
                 self.start_refused(now, number, id, why);
-                self.note_failed_start(number, id, run_number, why.as_str(), tries);
+                self.report_failed_start(number, id, run_number, why.as_str(), tries);
             }
             Answer::Silent(_) => {
                 run.state = RunState::InDoubt;
@@ -132,7 +132,7 @@
                 } else {
                     self.stop_run(now, id);
                 }
-                self.note_failed_start(number, id, run_number, "no answer", tries);
+                self.report_failed_start(number, id, run_number, "no answer", tries);
             }
             Answer::OtherIncarnation => {}
         }
@@ -171,7 +171,7 @@
         }
     }
 
-    fn note_failed_start(
+    fn report_failed_start(
         &mut self,
         number: MinionNumber,
         task: TaskId,
@@ -243,7 +243,7 @@
     pub(super) fn send_stops(&mut self, now: Timestamp) {
         let token = self.term;
         let mut without_minion = Vec::new();
-        for id in &self.leaving {
+        for id in &self.stopping {
             let Some(run) = self.runs.get_mut(id) else {
                 continue;
             };
@@ -282,7 +282,7 @@
         {
             run.stop = StopState::Due(now);
             let minion = run.minion;
-            self.leaving.insert(id);
+            self.stopping.insert(id);
             self.forget_releases(minion);
         }
     }
--- a/src/batch/dispatch/claims.rs
+++ b/src/batch/dispatch/claims.rs
@@ -417,7 +417,7 @@
             let Some(run) = self.runs.get(id) else {
                 continue;
             };
-            if run.is_leaving() || taken.iter().any(|p| p.victims.contains(id)) {
+            if run.is_stopping() || taken.iter().any(|p| p.victims.contains(id)) {
                 room = room.saturating_add(&run.need);
                 starts = now + self.cfg.stop_time;
             } else if self.yields_to(now, run, waiting.step.queue.priority) {
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -101,7 +101,7 @@
     /// Processes that can send questions to the policy service.
     agents: usize,
     /// Runs that are being stopped and still occupy their resources.
-    leaving: BTreeSet<TaskId>,
+    stopping: BTreeSet<TaskId>,
     /// Free resources of all minions by priority of the work, with the time of their computation.
     availabilities: HashMap<u32, (Timestamp, question_candidates::Availabilities)>,
     /// Utilization of each service.
@@ -169,7 +169,7 @@
             questions: questions::Questions::default(),
             passed_over_at: now,
             agents: 1,
-            leaving: BTreeSet::new(),
+            stopping: BTreeSet::new(),
             availabilities: HashMap::new(),
             utilizations: utilization::Utilizations::default(),
             releases: RefCell::new(HashMap::new()),
@@ -329,8 +329,8 @@
         if let Some(charge) = run.charge(id) {
             self.quotas.add(charge);
         }
-        if run.is_leaving() {
-            self.leaving.insert(id);
+        if run.is_stopping() {
+            self.stopping.insert(id);
         }
         self.least_urgent = self.least_urgent.max(run.priority);
         self.runs.insert(id, run);
@@ -339,7 +339,7 @@
     /// Removes a run and releases its resources.
     fn remove_run(&mut self, id: TaskId) -> Option<Run> {
         let run = self.runs.remove(&id)?;
-        self.leaving.remove(&id);
+        self.stopping.remove(&id);
         self.free_room(id, &run);
         self.dirty_jobs.insert(id.step.job);
         Some(run)
--- a/src/batch/dispatch/quota.rs
+++ b/src/batch/dispatch/quota.rs
@@ -251,7 +251,7 @@
             let Some(run) = self.runs.get(task).filter(|run| run.run == *number) else {
                 continue;
             };
-            if run.is_leaving() {
+            if run.is_stopping() {
                 after = after.saturating_sub(&run.need);
             } else if self.yields_to(now, run, step.queue.priority) {
                 let rank = (Reverse((run.priority, run.proposed)), *task);
--- a/src/batch/dispatch/run.rs
+++ b/src/batch/dispatch/run.rs
@@ -167,7 +167,7 @@
     }
 
     /// Whether a stop is requested, so that its resources will be freed.
-    pub(super) fn is_leaving(&self) -> bool {
+    pub(super) fn is_stopping(&self) -> bool {
         self.stop != StopState::No
     }
 }
