--- a/src/batch/dispatch/crashes.rs
+++ b/src/batch/dispatch/crashes.rs
@@ -165,7 +165,7 @@
 fn crash_certainty(run: &Run, minion: &Minion, sent: Timestamp) -> Option<Certainty> {
     match (run.state, run.ordered) {
         (RunState::Proposed | RunState::Ending, _) => None,
-        (RunState::Carried | RunState::CarriedInDoubt, _) => run.suspected,
+        (RunState::Transferred | RunState::TransferredInDoubt, _) => run.suspected,
         (RunState::Running(since), _) if minion.was_up_after(since + HARMLESS_AFTER) => None,
         (RunState::Running(since), Some(_)) if minion.was_down_by(since + HARMLESS_AFTER) => {
             Some(Certainty::Begun)
--- a/src/batch/dispatch/listings.rs
+++ b/src/batch/dispatch/listings.rs
@@ -275,9 +275,9 @@
             }
             let stopped = matches!(run.stop, StopState::Confirmed(at) if at < sent);
             let kind = match run.state {
-                RunState::Carried => Some(EndKind::Crashed),
-                RunState::CarriedInDoubt if stopped => Some(EndKind::Crashed),
-                RunState::CarriedInDoubt => {
+                RunState::Transferred => Some(EndKind::Crashed),
+                RunState::TransferredInDoubt if stopped => Some(EndKind::Crashed),
+                RunState::TransferredInDoubt => {
                     in_doubt.push(*task);
                     None
                 }
--- a/src/batch/dispatch/restarts.rs
+++ b/src/batch/dispatch/restarts.rs
@@ -139,9 +139,9 @@
             return;
         };
         run.state = if may_still_start(&run) {
-            RunState::CarriedInDoubt
+            RunState::TransferredInDoubt
         } else {
-            RunState::Carried
+            RunState::Transferred
         };
         run.minion = successor;
         if run.stop != StopState::No {
@@ -175,7 +175,7 @@
     match run.state {
         // With a single try, its only order was carried out.
         RunState::Running(_) => run.tries > 1,
-        RunState::Carried => false,
+        RunState::Transferred => false,
         // Orders of earlier leaders are refused after the new incarnation has seen one of this
         // leader.
         _ => run.tries > 0,
--- a/src/batch/dispatch/run.rs
+++ b/src/batch/dispatch/run.rs
@@ -28,9 +28,9 @@
     Running(Timestamp),
     /// Its minion restarted and has not listed it. Its start order was carried out, by this
     /// incarnation or by the previous one.
-    Carried,
+    Transferred,
     /// Its minion restarted and has not listed it. An order to start it may still be carried out.
-    CarriedInDoubt,
+    TransferredInDoubt,
     /// Its end is known and not committed yet.
     Ending,
 }
