--- a/src/batch/dispatch/claims.rs
+++ b/src/batch/dispatch/claims.rs
@@ -420,7 +420,7 @@
             if run.is_stopping() || taken.iter().any(|p| p.victims.contains(id)) {
                 room = room.saturating_add(&run.need);
                 starts = now + self.cfg.stop_time;
-            } else if self.yields_to(now, run, waiting.step.queue.priority) {
+            } else if self.is_preemptible_for(now, run, waiting.step.queue.priority) {
                 preemptible.push((*id, run));
             }
         }
@@ -449,12 +449,12 @@
     /// Whether a run may be preempted for work of `priority`. A run that was resumed from a
     /// checkpoint only recently is spared: it has done less work than its stop and restore cost,
     /// and would be preempted over and over.
-    pub(super) fn yields_to(&self, now: Timestamp, run: &Run, priority: u32) -> bool {
+    pub(super) fn is_preemptible_for(&self, now: Timestamp, run: &Run, priority: u32) -> bool {
         let RunState::Running(since) = run.state else {
             return false;
         };
         let repaid_after = (self.cfg.stop_time + self.cfg.restore_time) * 2;
         let spared = run.resumed && now < since + repaid_after;
-        run.yields && run.priority > priority && !spared
+        run.preemptible && run.priority > priority && !spared
     }
 }
--- a/src/batch/dispatch/question_candidates.rs
+++ b/src/batch/dispatch/question_candidates.rs
@@ -59,7 +59,7 @@
             soon: minion.free(),
         };
         for run in minion.runs.iter().filter_map(|id| self.runs.get(id)) {
-            if run.is_stopping() || (run.yields && run.priority > priority) {
+            if run.is_stopping() || (run.preemptible && run.priority > priority) {
                 available.preemptible = available.preemptible.saturating_add(&run.need);
                 available.soon = available.soon.saturating_add(&run.need);
             } else if run.expected_end(now).is_some_and(|end| end < now + SOON) {
--- a/src/batch/dispatch/quota.rs
+++ b/src/batch/dispatch/quota.rs
@@ -253,7 +253,7 @@
             };
             if run.is_stopping() {
                 after = after.saturating_sub(&run.need);
-            } else if self.yields_to(now, run, step.queue.priority) {
+            } else if self.is_preemptible_for(now, run, step.queue.priority) {
                 let rank = (Reverse((run.priority, run.proposed)), *task);
                 preemptible.push((rank, run));
             }
--- a/src/batch/dispatch/run.rs
+++ b/src/batch/dispatch/run.rs
@@ -91,7 +91,7 @@
     /// Whether it ends without a stop order; false for lasting tasks.
     pub(super) ends: bool,
     /// Whether it can be preempted without loss of work.
-    pub(super) yields: bool,
+    pub(super) preemptible: bool,
 }
 
 impl Run {
@@ -131,7 +131,7 @@
             queue: queue.name.clone(),
             priority: queue.priority,
             ends: spec.lifetime == Lifetime::Finite,
-            yields: spec.saves_progress
+            preemptible: spec.saves_progress
                 && spec.lifetime == Lifetime::Finite
                 && spec.grouping == Grouping::Single,
         }
