--- a/benches/dispatch.rs
+++ b/benches/dispatch.rs
@@ -190,7 +190,7 @@
                 let good = good.map(|id| (id.clone(), "ticket".into())).collect();
                 let began = Instant::now();
                 let advice = Some(Advice { good });
-                self.leader.advised(self.now, question.id, advice);
+                self.leader.advice_received(self.now, question.id, advice);
                 self.busy_time += began.elapsed();
                 self.decide();
             }
@@ -350,7 +350,7 @@
     fn answered(&mut self, number: u32, kind: OrderKind, sent: Duration, answer: MinionAnswer) {
         let began = Instant::now();
         self.leader
-            .answered(self.now, number, &kind, sent, answer, &self.ledger);
+            .order_answered(self.now, number, &kind, sent, answer, &self.ledger);
         self.busy_time += began.elapsed();
         self.decide();
     }
--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -321,7 +321,12 @@
     /// A late answer to an expired question is ignored. Matched to the next question, it would mark
     /// minions that only the next one names as permanently forbidden: with agents cut off for 4 s,
     /// a gang of 45 in a half-empty cell was never asked about again.
-    pub fn advised(&mut self, now: Timestamp, question: QuestionId, advice: Option<Advice>) {
+    pub fn advice_received(
+        &mut self,
+        now: Timestamp,
+        question: QuestionId,
+        advice: Option<Advice>,
+    ) {
         let id = question.step;
         let step = self.ready.get(&id).or_else(|| self.upcoming.get(&id));
         let validity = step
--- a/src/batch/dispatch/answers.rs
+++ b/src/batch/dispatch/answers.rs
@@ -59,7 +59,7 @@
     }
 
     /// Handles the answer to an order that was sent at `sent`, by this replica's clock.
-    pub fn answered(
+    pub fn order_answered(
         &mut self,
         now: Timestamp,
         number: MinionNumber,
--- a/src/batch/dispatch/minion.rs
+++ b/src/batch/dispatch/minion.rs
@@ -218,7 +218,7 @@
     }
 
     /// Records that another incarnation reported from its address.
-    pub(super) fn displaced(&mut self, now: Timestamp) {
+    pub(super) fn mark_displaced(&mut self, now: Timestamp) {
         if self.presence == Presence::Present {
             self.presence = Presence::Displaced(now);
         }
@@ -236,7 +236,7 @@
     }
 
     /// Records its announcement that it ends.
-    pub(super) fn left(&mut self, now: Timestamp) {
+    pub(super) fn mark_leaving(&mut self, now: Timestamp) {
         if !matches!(self.presence, Presence::Leaving(_)) {
             self.presence = Presence::Leaving(now);
         }
--- a/src/batch/dispatch/reports.rs
+++ b/src/batch/dispatch/reports.rs
@@ -18,7 +18,7 @@
         // The minion known at this address may have ended; the next call to it will show.
         let at_same_addr = |m: &&mut Minion| m.report.addr == report.addr;
         for old in self.minions.values_mut().filter(at_same_addr) {
-            old.displaced(now);
+            old.mark_displaced(now);
             self.changed_minions.insert(old.number);
         }
         self.emit(Event::MinionJoined {
@@ -40,7 +40,7 @@
             (Some(reported), Some(known)) if reported < known => {
                 // The report is from an earlier incarnation, or from a new one whose host's clock
                 // was set back. The next call will show which.
-                minion.displaced(now);
+                minion.mark_displaced(now);
                 self.changed_minions.insert(number);
                 return;
             }
@@ -86,14 +86,14 @@
     }
 
     /// Handles a minion's message that it is about to end.
-    pub fn left(&mut self, now: Timestamp, id: &MinionId) {
+    pub fn minion_left(&mut self, now: Timestamp, id: &MinionId) {
         let Some(minion) = self.by_id.get(id).and_then(|n| self.minions.get_mut(n)) else {
             return;
         };
         if !minion.draining {
             self.batch.draining.push(minion.number);
         }
-        minion.left(now);
+        minion.mark_leaving(now);
         self.changed_minions.insert(minion.number);
         let event = Event::MinionLeft {
             minion: id.clone(),
--- a/src/batch/machine.rs
+++ b/src/batch/machine.rs
@@ -143,7 +143,7 @@
     /// Records that a minion announced its exit. Ignored on a replica that does not lead.
     pub(crate) fn minion_left(&mut self, now: Timestamp, id: &MinionId) {
         if let Some(dispatcher) = &mut self.dispatcher {
-            dispatcher.left(now, id);
+            dispatcher.minion_left(now, id);
         }
     }
 
@@ -153,7 +153,7 @@
             return;
         };
         for o in outcomes {
-            dispatcher.answered(now, o.minion, &o.order, o.sent, o.answer, &self.ledger);
+            dispatcher.order_answered(now, o.minion, &o.order, o.sent, o.answer, &self.ledger);
         }
     }
 
@@ -173,7 +173,7 @@
         advice: Option<Advice>,
     ) {
         if let Some(dispatcher) = &mut self.dispatcher {
-            dispatcher.advised(now, question, advice);
+            dispatcher.advice_received(now, question, advice);
         }
     }
 
--- a/tests/batch_advice.rs
+++ b/tests/batch_advice.rs
@@ -29,7 +29,9 @@
     let advice = Advice {
         good: good.collect(),
     };
-    world.leader.advised(world.now, question.id, Some(advice));
+    world
+        .leader
+        .advice_received(world.now, question.id, Some(advice));
     world.decide();
 }
 
@@ -63,7 +65,7 @@
     }
     world.take_questions();
 
-    world.leader.left(world.now, &"i-0".into());
+    world.leader.minion_left(world.now, &"i-0".into());
     let lost = starts.iter().position(|(m, _)| *m == 0).expect("one each");
     let (minion, order) = starts.remove(lost);
     world.end(minion, 1, &order, EndKind::Failed);
@@ -139,7 +141,9 @@
     world.submit(JOB + 1, vec![lasting(60, 32_000)]);
     world.start_all();
     let nobody = Advice { good: Vec::new() };
-    world.leader.advised(world.now, question.id, Some(nobody));
+    world
+        .leader
+        .advice_received(world.now, question.id, Some(nobody));
     world.pass(ms(300));
     let question = world.take_questions().remove(0);
     assert_eq!(question.minions.len(), 30);
@@ -166,7 +170,9 @@
 
     let nobody = Advice { good: Vec::new() };
     let latest = questions[0].id;
-    world.leader.advised(world.now, latest, Some(nobody));
+    world
+        .leader
+        .advice_received(world.now, latest, Some(nobody));
     world.pass(ms(100));
     assert_eq!(world.take_stops().len(), 1);
 }
--- a/tests/batch_departures.rs
+++ b/tests/batch_departures.rs
@@ -112,7 +112,7 @@
     let (mut world, minion, start) = world_with_a_lasting_task();
     world.leader.report(world.now, draining("i-1", 1));
     answer_holds(&mut world, minion, &start, ms(9_500));
-    world.leader.left(world.now, &"i-1".into());
+    world.leader.minion_left(world.now, &"i-1".into());
     let downtime = time_to_restart(&mut world, minion);
     assert!(downtime < MAX_DOWNTIME / 3, "down for {downtime:?}");
 }
@@ -124,7 +124,7 @@
     let (mut world, minion, start) = world_with_a_lasting_task();
     world.leader.report(world.now, draining("i-1", 1));
     answer_holds(&mut world, minion, &start, ms(3_000));
-    world.leader.left(world.now, &"i-1".into());
+    world.leader.minion_left(world.now, &"i-1".into());
     answer_holds(&mut world, minion, &start, ms(5_000));
     assert_eq!(world.take_starts(), []);
 }
@@ -135,7 +135,7 @@
 fn an_early_unanswered_call_is_no_proof_of_an_end() {
     let (mut world, minion, _) = world_with_a_lasting_task();
     world.leader.report(world.now, draining("i-1", 1));
-    world.leader.left(world.now, &"i-1".into());
+    world.leader.minion_left(world.now, &"i-1".into());
     let just_before_the_end = world.now + ms(899);
     lose_hold(&mut world, minion, just_before_the_end);
     lose_hold(&mut world, minion, just_before_the_end);
@@ -151,7 +151,7 @@
 fn calls_that_were_not_made_are_no_proof_of_an_end() {
     let (mut world, minion, start) = world_with_a_lasting_task();
     world.leader.report(world.now, draining("i-1", 1));
-    world.leader.left(world.now, &"i-1".into());
+    world.leader.minion_left(world.now, &"i-1".into());
     answer_holds(&mut world, minion, &start, ms(1_200));
     for silence in [Silence::NotCalled, Silence::NotCalled, Silence::NotCalled] {
         let now = world.now;
@@ -213,7 +213,7 @@
     let (mut world, minion, start) = world_with_a_lasting_task();
     world.leader.report(world.now, draining("i-1", 1));
     answer_holds(&mut world, minion, &start, ms(9_500));
-    world.leader.left(world.now, &"i-1".into());
+    world.leader.minion_left(world.now, &"i-1".into());
     world.new_leader(2);
     world.answer_first_hold_of("i-2");
     let downtime = time_to_restart(&mut world, minion);
@@ -274,7 +274,7 @@
 fn the_final_message_is_replicated_to_the_next_leader() {
     let mut world = World::with(long_leases());
     world.join("i-1", 1);
-    world.leader.left(world.now, &"i-1".into());
+    world.leader.minion_left(world.now, &"i-1".into());
     world.decide();
     world.new_leader(2);
     world.answer_first_hold_of("i-1");
--- a/tests/batch_waits.rs
+++ b/tests/batch_waits.rs
@@ -71,7 +71,7 @@
                 let good = named.filter(|m| self.allows(question.id.step, m));
                 let good = good.map(|m| (m.clone(), "ticket".into())).collect();
                 let advice = Some(Advice { good });
-                world.leader.advised(world.now, question.id, advice);
+                world.leader.advice_received(world.now, question.id, advice);
             }
         }
     }
@@ -224,7 +224,7 @@
                 cell.runs.retain(|_, (m, ..)| m != host);
                 cell.gone.insert(*host);
                 let now = world.now;
-                world.leader.left(now, &ids[host].as_str().into());
+                world.leader.minion_left(now, &ids[host].as_str().into());
             }
         }
         world.pass(TICK);
--- a/tests/batch_world/hosts.rs
+++ b/tests/batch_world/hosts.rs
@@ -349,7 +349,7 @@
             let (kind, answer) = (delivery.kind, delivery.answer);
             let ledger = &self.world.ledger;
             let leader = &mut self.world.leader;
-            leader.answered(now, minion, &kind, sent, answer, ledger);
+            leader.order_answered(now, minion, &kind, sent, answer, ledger);
         }
     }
 
