--- a/src/batch/dispatch/applied.rs
+++ b/src/batch/dispatch/applied.rs
@@ -20,7 +20,7 @@
             } => {
                 if fresh {
                     self.set_services(parsed);
-                    self.renew_limits(ledger);
+                    self.refresh_limits(ledger);
                     self.emit(Event::ConfigInForce {
                         version: *version,
                         queues: parsed.queues.len(),
@@ -40,7 +40,7 @@
                     if let Some(job) = ledger.jobs.get(job) {
                         self.profiles.declared(job);
                     }
-                    self.take_hand_in(ledger, *job);
+                    self.count_submission(ledger, *job);
                     self.dirty_jobs.insert(*job);
                     self.schedule_next(ledger, *job);
                 }
@@ -153,7 +153,7 @@
             age: ledger.clock.saturating_sub(job.accepted),
         });
         self.remove_step_advice(id);
-        self.shares.forget(id);
+        self.excess.remove(id);
         remove_job(&mut self.observed, id);
         let steps = StepId::all_of(id);
         let all = *steps.start().tasks().start()..=*steps.end().tasks().end();
--- a/src/batch/dispatch/cell_report.rs
+++ b/src/batch/dispatch/cell_report.rs
@@ -79,7 +79,7 @@
             room: with_room.count(),
             asked: step_advice.is_some_and(|k| k.is_asked()),
             limited: !self.is_allowed(step, spec),
-            surplus: step.is_surplus(),
+            excess: step.is_excess(),
         }
     }
 
--- a/src/batch/dispatch/claims.rs
+++ b/src/batch/dispatch/claims.rs
@@ -308,7 +308,7 @@
         self.cfg.mechanisms.has(Mechanism::Preemption)
             && self.least_urgent > step.queue.priority
             && !step.is_late(unix)
-            && !step.is_surplus()
+            && !step.is_excess()
             && (waiting.is_overdue() || !self.has_room_but_no_ticket(now, id, step, spec))
     }
 
--- a/src/batch/dispatch/share.rs
+++ b/src/batch/dispatch/excess.rs
@@ -39,7 +39,7 @@
     }
 
     /// Removes a finished job.
-    pub(super) fn forget(&mut self, job: JobId) {
+    pub(super) fn remove(&mut self, job: JobId) {
         self.jobs.remove(&job);
     }
 }
@@ -47,12 +47,12 @@
 impl Dispatcher {
     /// Whether a job was submitted above the weight of its workspace; never while the mechanism is
     /// off.
-    pub(super) fn is_surplus(&self, job: JobId) -> bool {
-        self.cfg.mechanisms.has(Mechanism::SurplusLast) && self.shares.jobs.contains(&job)
+    pub(super) fn is_excess(&self, job: JobId) -> bool {
+        self.cfg.mechanisms.has(Mechanism::ExcessLast) && self.excess.jobs.contains(&job)
     }
 
     /// Counts a new job against the weight of its workspace.
-    pub(super) fn take_hand_in(&mut self, ledger: &Ledger, id: JobId) {
+    pub(super) fn count_submission(&mut self, ledger: &Ledger, id: JobId) {
         let Some(job) = ledger.jobs.get(&id) else {
             return;
         };
@@ -60,7 +60,7 @@
             return;
         };
         if let Some(workspace) = ledger.workspace(owner) {
-            self.shares
+            self.excess
                 .record(id, owner, workspace.weight, job.accepted);
         }
     }
@@ -71,9 +71,9 @@
         let mut order: Vec<_> = owned.map(|(id, job)| (job.accepted, *id)).collect();
         order.sort_unstable();
         for (_, id) in order {
-            self.take_hand_in(ledger, id);
+            self.count_submission(ledger, id);
         }
         let is_open = |id: &JobId| ledger.job_state(*id).is_some_and(|s| !s.is_final());
-        self.shares.jobs.retain(is_open);
+        self.excess.jobs.retain(is_open);
     }
 }
--- a/src/batch/dispatch/mechanisms.rs
+++ b/src/batch/dispatch/mechanisms.rs
@@ -27,7 +27,7 @@
     /// Asks the policy service about steps before they are ready.
     AskAhead,
     /// Orders jobs beyond the share of their workspace behind all others.
-    SurplusLast,
+    ExcessLast,
     /// At a workspace's limit, stops its own less urgent runs for its more urgent tasks.
     LimitPreemption,
 }
@@ -45,7 +45,7 @@
         Self::Progress,
         Self::TightFit,
         Self::AskAhead,
-        Self::SurplusLast,
+        Self::ExcessLast,
         Self::LimitPreemption,
     ];
 
@@ -62,7 +62,7 @@
             Self::Progress => "progress",
             Self::TightFit => "tight-fit",
             Self::AskAhead => "ask-ahead",
-            Self::SurplusLast => "surplus-last",
+            Self::ExcessLast => "surplus-last",
             Self::LimitPreemption => "limit-preemption",
         }
     }
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -11,6 +11,7 @@
 mod cell_report;
 mod claims;
 mod crashes;
+mod excess;
 mod forecast;
 mod gangs;
 mod holds;
@@ -28,7 +29,6 @@
 mod reports;
 mod restarts;
 mod run;
-mod share;
 mod speed;
 mod utilization;
 
@@ -111,7 +111,7 @@
     /// Limits and usage of workspaces.
     quotas: quota::Quotas,
     /// Jobs submitted above the weights of their workspaces.
-    shares: share::ExcessJobs,
+    excess: excess::ExcessJobs,
     /// Resources reserved for waiting tasks in the current placement round.
     claims: claims::Claims,
     /// Changes collected for the next batch.
@@ -174,7 +174,7 @@
             utilizations: utilization::Utilizations::default(),
             releases: RefCell::new(HashMap::new()),
             quotas: quota::Quotas::default(),
-            shares: share::ExcessJobs::default(),
+            excess: excess::ExcessJobs::default(),
             claims: claims::Claims::default(),
             batch: Batch::default(),
             changed_minions: BTreeSet::new(),
@@ -201,7 +201,7 @@
             minion.assumed_until = assumed;
             d.add_minion(minion);
         }
-        d.renew_limits(ledger);
+        d.refresh_limits(ledger);
         d.restore_submissions(ledger);
         for job in ledger.jobs.values() {
             d.profiles.declared(job);
--- a/src/batch/dispatch/quota.rs
+++ b/src/batch/dispatch/quota.rs
@@ -183,7 +183,7 @@
 
 impl Dispatcher {
     /// Reads the current limits from the ledger.
-    pub(super) fn renew_limits(&mut self, ledger: &Ledger) {
+    pub(super) fn refresh_limits(&mut self, ledger: &Ledger) {
         let limits = ledger.workspaces();
         self.quotas
             .set_limits(limits.map(|(name, workspace)| (name.clone(), workspace.limit)));
@@ -222,7 +222,7 @@
         step: &ReadyStep,
         spec: &StepSpec,
     ) {
-        let worth_it = !step.is_late(unix) && !step.is_surplus();
+        let worth_it = !step.is_late(unix) && !step.is_excess();
         if !worth_it || !self.cfg.mechanisms.has(Mechanism::LimitPreemption) {
             return;
         }
--- a/src/batch/dispatch/ready.rs
+++ b/src/batch/dispatch/ready.rs
@@ -18,7 +18,7 @@
     class: u8,
     /// Whether the job was submitted above the weight of its workspace; such jobs come after all
     /// others.
-    surplus: bool,
+    excess: bool,
     /// Priority of the queue; 0 is the most urgent.
     priority: u32,
     /// Unix time by which the job should be done, from its objective.
@@ -58,8 +58,8 @@
     }
 
     /// Whether its job was submitted above the weight of its workspace.
-    pub(super) fn is_surplus(&self) -> bool {
-        self.key.surplus
+    pub(super) fn is_excess(&self) -> bool {
+        self.key.excess
     }
 
     /// Whether a finite job clearly misses its objective.
@@ -165,7 +165,7 @@
         let expected = self.expected_times(job, id);
         let key = OrderKey {
             class: if lasting { CLASS_LASTING } else { CLASS_FINITE },
-            surplus: !lasting && self.is_surplus(id.job),
+            excess: !lasting && self.is_excess(id.job),
             priority: job.queue.priority,
             due: due(job, id, expected.allowed),
             step: Reverse(id.step),
--- a/src/batch/event.rs
+++ b/src/batch/event.rs
@@ -217,7 +217,7 @@
         /// Whether the step waits because its workspace is at its limit.
         limited: bool,
         /// Whether its job exceeds the guaranteed rate of its workspace.
-        surplus: bool,
+        excess: bool,
     },
     /// Periodic: resource usage of a workspace that has a limit.
     WorkspaceUse {
--- a/src/batch/event_output.rs
+++ b/src/batch/event_output.rs
@@ -116,10 +116,10 @@
             room,
             asked,
             limited,
-            surplus,
+            excess,
         } => info!(log, "step waits"; "step" => %step, "waiting" => waiting,
             "age_ms" => ms(age), "good" => good, "tickets" => tickets, "room" => room,
-            "asked" => asked, "limited" => limited, "surplus" => surplus),
+            "asked" => asked, "limited" => limited, "surplus" => excess),
         Event::WorkspaceUse {
             workspace,
             used,
