--- a/src/batch/dispatch/forecast.rs
+++ b/src/batch/dispatch/forecast.rs
@@ -32,7 +32,7 @@
 
 impl Progress {
     /// Starts from `percent` of the work done at `at`.
-    pub(super) fn begun(at: Timestamp, percent: u32) -> Self {
+    pub(super) fn starting_at(at: Timestamp, percent: u32) -> Self {
         Self {
             from: (at, percent),
             to: (at, percent),
@@ -40,7 +40,7 @@
     }
 
     /// Records the progress in a listing; a repeated or lower value changes nothing.
-    pub(super) fn take(&mut self, now: Timestamp, percent: u32) {
+    pub(super) fn record(&mut self, now: Timestamp, percent: u32) {
         if percent > self.to.1 {
             self.to = (now, percent);
         }
--- a/src/batch/dispatch/listings.rs
+++ b/src/batch/dispatch/listings.rs
@@ -108,7 +108,7 @@
             return;
         };
         minion.succeeded();
-        let run_time = run.worked(now);
+        let run_time = run.elapsed(now);
         self.profiles.learn(&run.queue, run.estimate, run_time);
         if self.cfg.mechanisms.has(Mechanism::LearntSpeeds) {
             self.speeds.learn(&mut minion.pace, run.estimate, run_time);
@@ -132,7 +132,7 @@
         else {
             return;
         };
-        if !run.ends && run.worked(now) >= PROVEN_HEALTHY_AFTER {
+        if !run.ends && run.elapsed(now) >= PROVEN_HEALTHY_AFTER {
             minion.succeeded();
         } else {
             minion.failed(now);
@@ -196,7 +196,7 @@
                 run.checkpoint = listed.checkpoint.clone();
             }
             if run.ends && self.cfg.mechanisms.has(Mechanism::Progress) {
-                run.take_progress(now, listed.percent);
+                run.record_progress(now, listed.percent);
             }
             self.seen_at_work(now, number, listed.task);
             return;
--- a/src/batch/dispatch/run.rs
+++ b/src/batch/dispatch/run.rs
@@ -138,15 +138,15 @@
     }
 
     /// Records the completed share of its work from a listing, in percent.
-    pub(super) fn take_progress(&mut self, now: Timestamp, percent: u32) {
+    pub(super) fn record_progress(&mut self, now: Timestamp, percent: u32) {
         let from_the_start = self.begun.filter(|_| !self.resumed);
         let (at, from) = from_the_start.map_or((now, percent), |begun| (begun, 0));
-        let progress = self.progress.get_or_insert(Progress::begun(at, from));
-        progress.take(now, percent);
+        let progress = self.progress.get_or_insert(Progress::starting_at(at, from));
+        progress.record(now, percent);
     }
 
     /// Time since the confirmed start order was sent; zero when an earlier leader sent it.
-    pub(super) fn worked(&self, now: Timestamp) -> Duration {
+    pub(super) fn elapsed(&self, now: Timestamp) -> Duration {
         let begun = self.begun;
         begun.map_or(Duration::ZERO, |at| now.saturating_sub(at))
     }
