--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -276,7 +276,7 @@
             let Some(terms) = step.queue.advice else {
                 continue;
             };
-            if now < step.look_at {
+            if now < step.check_at {
                 continue;
             }
             let takes = terms.base + terms.per_minion * MIN_MINIONS_PER_QUESTION as u32;
@@ -284,7 +284,7 @@
             let has_ticket =
                 |k: &StepAdvice| k.tickets.keys().any(|m| k.has_ticket(*m, now + takes));
             let expected_start = self.expected_start(now, *id, step);
-            step.look_at = now + look_ahead_pause(now, expected_start, takes);
+            step.check_at = now + look_ahead_pause(now, expected_start, takes);
             if expected_start.is_some_and(|at| at < now + takes) && !known.is_some_and(has_ticket) {
                 self.ask(now, *id, step, terms, QuestionReason::Upcoming);
             }
--- a/src/batch/dispatch/applied.rs
+++ b/src/batch/dispatch/applied.rs
@@ -69,7 +69,7 @@
             self.dirty_jobs.insert(*job);
             self.schedule_next(ledger, *job);
         }
-        let ended: BTreeSet<_> = ledger.ended_now().collect();
+        let ended: BTreeSet<_> = ledger.jobs_ended_at_last_command().collect();
         for job in ended {
             self.job_ended(now, ledger, job);
         }
--- a/src/batch/dispatch/cell_report.rs
+++ b/src/batch/dispatch/cell_report.rs
@@ -68,7 +68,7 @@
         let need = charged(spec);
         let step_advice = self.step_advice.get(&id);
         let mut suitable = self.candidates(id, step);
-        suitable.retain(|m| self.suits(now, m, id, step, spec));
+        suitable.retain(|m| self.has_permission(now, m, id, step, spec));
         let with_room = suitable.iter().filter(|m| need.fits_in(&m.free()));
         Event::StepWaits {
             step: id,
@@ -95,7 +95,7 @@
                 counted.limited += tasks;
             }
         }
-        let mut uses: Vec<_> = self.quotas.uses().collect();
+        let mut uses: Vec<_> = self.quotas.usage_and_limits().collect();
         let parts = |(_, used, limit): &(_, Resources, Resources)| used.dominant_share(limit);
         uses.sort_by(|a, b| parts(b).total_cmp(&parts(a)));
         uses.truncate(MAX_WORKSPACES_REPORTED);
--- a/src/batch/dispatch/claims.rs
+++ b/src/batch/dispatch/claims.rs
@@ -108,7 +108,7 @@
     }
 
     /// Number of a step's claims on a minion.
-    pub(super) fn of_step_on(&self, minion: MinionNumber, step: StepId) -> u32 {
+    pub(super) fn tasks_of_step_on(&self, minion: MinionNumber, step: StepId) -> u32 {
         let claims = self.on(minion).iter();
         claims.filter(|claim| claim.step == step).count() as u32
     }
@@ -244,7 +244,7 @@
         step: &ReadyStep,
     ) {
         let spec = &step.spec.steps[usize::from(id.step)];
-        if spec.fills || step.is_worthless(unix) || !self.cfg.mechanisms.has(Mechanism::Claims) {
+        if spec.fills || step.is_expired(unix) || !self.cfg.mechanisms.has(Mechanism::Claims) {
             return;
         }
         let waiting = WaitingStep {
@@ -257,7 +257,7 @@
         };
         let (units, size) = match spec.grouping {
             Grouping::Single => {
-                let allowed = self.quotas.times(step.owner.as_ref(), &spec.need);
+                let allowed = self.quotas.startable_tasks(step.owner.as_ref(), &spec.need);
                 (step.waiting.len().min(allowed as usize), 1)
             }
             Grouping::Gang => (1, step.waiting.len()),
@@ -379,7 +379,8 @@
     fn could_run(&self, minion: &Minion, waiting: WaitingStep) -> bool {
         let WaitingStep { now, id, step, .. } = waiting;
         let most = waiting.spec.max_per_minion.unwrap_or(u32::MAX);
-        let own = || self.of_step_on(minion, id) + self.claims.of_step_on(minion.number, id);
+        let own =
+            || self.tasks_of_step_on(minion, id) + self.claims.tasks_of_step_on(minion.number, id);
         waiting.need.fits_in(&minion.report.capacity)
             && self.is_eligible(now, minion, id, step, waiting.spec)
             && own() < most
--- a/src/batch/dispatch/gangs.rs
+++ b/src/batch/dispatch/gangs.rs
@@ -23,7 +23,7 @@
             return;
         }
         let mut members = step.waiting.iter().map(|index| id.task(*index));
-        if !members.all(|task| self.startable(ledger, task).is_some()) {
+        if !members.all(|task| self.waiting_record(ledger, task).is_some()) {
             return;
         }
         let places = self.gang_places(now, id, step, spec);
@@ -46,7 +46,7 @@
             .unwrap_or(1);
         let members = std::mem::take(&mut step.waiting);
         for (index, minion) in members.into_iter().zip(chosen) {
-            self.grant(now, id.task(index), step, spec, minion, run, ledger);
+            self.propose_start(now, id.task(index), step, spec, minion, run, ledger);
         }
     }
 
--- a/src/batch/dispatch/holds.rs
+++ b/src/batch/dispatch/holds.rs
@@ -182,7 +182,7 @@
                 started: Some(started),
                 ..
             }) if minion.is_other_incarnation(started) => {
-                self.restart_listed(now, number, sent, started)
+                self.restart_detected(now, number, sent, started)
             }
             HoldAnswer::Listing(listing) => {
                 minion.record_hold_answer(sent, now);
@@ -298,7 +298,7 @@
                 suspects.extend(&minion.lapsed);
                 self.count_crashes(minion.report.id.clone(), suspects);
             }
-            self.forget_minion(&minion);
+            self.drop_minion_state(&minion);
         }
     }
 }
--- a/src/batch/dispatch/listings.rs
+++ b/src/batch/dispatch/listings.rs
@@ -160,7 +160,7 @@
             checkpoint
         };
         let run = run.clone();
-        self.free_room(task, &run);
+        self.release_resources(task, &run);
         let id = self.minions.get(&run.minion).map(|m| m.report.id.clone());
         self.emit(Event::RunEnded {
             task,
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -291,7 +291,7 @@
     }
 
     /// Drops all remaining state of an incarnation that was removed.
-    fn forget_minion(&mut self, minion: &Minion) {
+    fn drop_minion_state(&mut self, minion: &Minion) {
         if self.by_id.get(&minion.report.id) == Some(&minion.number) {
             self.by_id.remove(&minion.report.id);
         }
@@ -340,12 +340,12 @@
     fn remove_run(&mut self, id: TaskId) -> Option<Run> {
         let run = self.runs.remove(&id)?;
         self.stopping.remove(&id);
-        self.free_room(id, &run);
+        self.release_resources(id, &run);
         self.dirty_jobs.insert(id.step.job);
         Some(run)
     }
 
-    fn free_room(&mut self, id: TaskId, run: &Run) {
+    fn release_resources(&mut self, id: TaskId, run: &Run) {
         self.forget_releases(run.minion);
         if let Some(charge) = run.charge(id) {
             self.quotas.remove(charge);
@@ -448,7 +448,7 @@
     }
 
     /// The record of a waiting task that has no tracked run.
-    fn startable<'a>(&self, ledger: &'a Ledger, id: TaskId) -> Option<&'a TaskRecord> {
+    fn waiting_record<'a>(&self, ledger: &'a Ledger, id: TaskId) -> Option<&'a TaskRecord> {
         let task = ledger.task(id)?;
         let waits = task.state == TaskState::Waiting && !self.runs.contains_key(&id);
         waits.then_some(task)
--- a/src/batch/dispatch/place.rs
+++ b/src/batch/dispatch/place.rs
@@ -136,16 +136,16 @@
                 return;
             }
             let task = id.task(index);
-            let Some(record) = self.startable(ledger, task) else {
+            let Some(record) = self.waiting_record(ledger, task) else {
                 step.waiting.remove(0);
                 continue;
             };
-            let suspect = record.crashes.are_suspect();
+            let suspect = record.crashes.any();
             let Some(minion) = self.choose(now, id, step, spec, suspect) else {
                 return;
             };
             step.waiting.remove(0);
-            self.grant(now, task, step, spec, minion, 0, ledger);
+            self.propose_start(now, task, step, spec, minion, 0, ledger);
         }
     }
 
@@ -209,12 +209,12 @@
             && need.fits_in(&minion.free())
             && (!spec.fills || minion.filling + spec.need.millicores <= minion.free().millicores)
             && self.leaves_claims(now, minion, step, spec, need)
-            && self.suits(now, minion, id, step, spec)
+            && self.has_permission(now, minion, id, step, spec)
     }
 
     /// Whether a minion is eligible for a step and has a ticket where one is needed, regardless of
     /// its free resources.
-    pub(super) fn suits(
+    pub(super) fn has_permission(
         &self,
         now: Timestamp,
         minion: &Minion,
@@ -257,10 +257,10 @@
             return false;
         }
         spec.max_per_minion
-            .is_none_or(|most| self.of_step_on(minion, id) < most)
+            .is_none_or(|most| self.tasks_of_step_on(minion, id) < most)
     }
 
-    pub(super) fn of_step_on(&self, minion: &Minion, id: StepId) -> u32 {
+    pub(super) fn tasks_of_step_on(&self, minion: &Minion, id: StepId) -> u32 {
         minion.runs.range(id.tasks()).count() as u32
     }
 
@@ -303,7 +303,7 @@
     /// Adds the start of a task to the next batch and tracks the run; the order is sent after the
     /// commit.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn grant(
+    pub(super) fn propose_start(
         &mut self,
         now: Timestamp,
         task: TaskId,
@@ -339,7 +339,7 @@
         let mut run = Run::new(run, number, (spec, &step.queue), checkpoint, now);
         run.owner = step.owner.clone();
         run.expected = self.expected_time(&step.queue.name, run.estimate);
-        if record.crashes.are_suspect() {
+        if record.crashes.any() {
             run.suspicion = Suspicion::Trial;
         }
         self.add_run(task, run);
--- a/src/batch/dispatch/question_candidates.rs
+++ b/src/batch/dispatch/question_candidates.rs
@@ -114,7 +114,7 @@
             {
                 continue;
             }
-            let own = |most: u32| most.saturating_sub(self.of_step_on(minion, id));
+            let own = |most: u32| most.saturating_sub(self.tasks_of_step_on(minion, id));
             let share = spec.max_per_minion.map_or(u32::MAX, own);
             let fits =
                 |available: &Resources| max_tasks_in(available, &need).min(share.min(waiting));
@@ -136,7 +136,7 @@
             let allowed = step_advice.allows(minion.number);
             let slowness = self.speeds.slowness(&minion.pace);
             candidates.push(Candidate {
-                reserved: step.is_lasting() && self.claims.of_step_on(minion.number, id) > 0,
+                reserved: step.is_lasting() && self.claims.tasks_of_step_on(minion.number, id) > 0,
                 weight: weight
                     * if allowed {
                         WEIGHT_ALLOWED
--- a/src/batch/dispatch/quota.rs
+++ b/src/batch/dispatch/quota.rs
@@ -97,7 +97,7 @@
     }
 
     /// Number of tasks with this need that may start now; `u32::MAX` without a limit.
-    pub(super) fn times(&self, owner: Option<&WorkspaceName>, need: &Resources) -> u32 {
+    pub(super) fn startable_tasks(&self, owner: Option<&WorkspaceName>, need: &Resources) -> u32 {
         owner
             .and_then(|owner| self.room(owner))
             .map_or(u32::MAX, |room| need.times_in(&room))
@@ -125,7 +125,9 @@
     }
 
     /// Usage and limit of each workspace that has a limit.
-    pub(super) fn uses(&self) -> impl Iterator<Item = (&WorkspaceName, Resources, Resources)> {
+    pub(super) fn usage_and_limits(
+        &self,
+    ) -> impl Iterator<Item = (&WorkspaceName, Resources, Resources)> {
         let limits = self.limits.iter();
         limits.map(|(owner, limit)| (owner, self.used(owner), *limit))
     }
@@ -193,7 +195,7 @@
     /// Whether the limit of a step's workspace lets any of its tasks start.
     pub(super) fn is_allowed(&self, step: &ReadyStep, spec: &StepSpec) -> bool {
         self.quotas
-            .times(step.owner.as_ref(), &required(step, spec))
+            .startable_tasks(step.owner.as_ref(), &required(step, spec))
             > 0
     }
 
--- a/src/batch/dispatch/ready.rs
+++ b/src/batch/dispatch/ready.rs
@@ -39,7 +39,7 @@
     /// Since when it has had waiting tasks, in monotonic time.
     pub(super) since: Timestamp,
     /// Next check for a question to the policy service, while its predecessors still run.
-    pub(super) look_at: Timestamp,
+    pub(super) check_at: Timestamp,
     /// Expected run time of this step plus that of the longest chain of steps after it.
     pub(super) remaining: Duration,
     /// Indices of the tasks to start, in order.
@@ -68,7 +68,7 @@
     }
 
     /// Whether a finite job is so late that it has no value any more.
-    pub(super) fn is_worthless(&self, unix: Timestamp) -> bool {
+    pub(super) fn is_expired(&self, unix: Timestamp) -> bool {
         !self.is_lasting() && self.late_penalty(unix) >= EXPIRED_PENALTY
     }
 
@@ -177,7 +177,7 @@
             owner: job.owner.clone(),
             accepted: job.accepted,
             since,
-            look_at: since,
+            check_at: since,
             remaining: expected.remaining[usize::from(id.step)],
             waiting,
         }
--- a/src/batch/dispatch/restarts.rs
+++ b/src/batch/dispatch/restarts.rs
@@ -30,7 +30,7 @@
 impl Dispatcher {
     /// Handles a listing which shows that a minion restarted at `started`. `sent` is when the hold
     /// was sent.
-    pub(super) fn restart_listed(
+    pub(super) fn restart_detected(
         &mut self,
         now: Timestamp,
         number: MinionNumber,
@@ -76,7 +76,7 @@
             self.count_crashes(former.report.id.clone(), former.lapsed.clone());
             self.suspects(&former, sent)
         };
-        self.forget_minion(&former);
+        self.drop_minion_state(&former);
         let unanswered = self.unanswered_starts(&former, now);
 
         let mut minion = Minion::new(self.next_minion, report, now);
--- a/src/batch/ledger/queries.rs
+++ b/src/batch/ledger/queries.rs
@@ -100,7 +100,7 @@
     }
 
     /// Jobs whose recorded end time equals that of the latest command.
-    pub(crate) fn ended_now(&self) -> impl Iterator<Item = JobId> + '_ {
+    pub(crate) fn jobs_ended_at_last_command(&self) -> impl Iterator<Item = JobId> + '_ {
         let latest = self.ended.iter().rev();
         let latest = latest.take_while(|(at, _)| *at == self.clock);
         latest.map(|(_, id)| *id)
--- a/src/batch/ledger/records.rs
+++ b/src/batch/ledger/records.rs
@@ -166,7 +166,7 @@
     }
 
     /// Whether the task may have caused any crash.
-    pub fn are_suspect(&self) -> bool {
+    pub fn any(&self) -> bool {
         self.begun + self.in_doubt + self.possible > 0
     }
 
--- a/tests/batch_crashes.rs
+++ b/tests/batch_crashes.rs
@@ -225,5 +225,5 @@
     cell.crash(port);
     cell.run(ms(5_000));
     let record = cell.world.ledger.task(task).expect("it is known");
-    assert_eq!((record.run, record.crashes.are_suspect()), (2, false));
+    assert_eq!((record.run, record.crashes.any()), (2, false));
 }
