--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -9,7 +9,7 @@
 use super::order::{Advice, AdviceQuestion, Order, QuestionId};
 use super::questions::{PendingQuestion, QuestionClass};
 use super::ready::remove_job;
-use super::run::charged;
+use super::run::demand;
 use super::{Dispatcher, ReadyStep};
 use crate::batch::event::Event;
 use crate::batch::model::{AdviceTerms, JobId, MinionNumber, StepId, StepSpec};
@@ -255,7 +255,7 @@
         if step.queue.advice.is_none() {
             return false;
         }
-        let need = charged(spec);
+        let need = demand(spec);
         let step_advice = self.step_advice.get(&id);
         self.minions.values().any(|minion| {
             let open = || {
@@ -380,7 +380,7 @@
     id: StepId,
     named: &[(MinionNumber, u32)],
 ) -> Vec<(MinionNumber, Resources)> {
-    let need = charged(&step.spec.steps[usize::from(id.step)]);
+    let need = demand(&step.spec.steps[usize::from(id.step)]);
     let places: u32 = named.iter().map(|(_, places)| places).sum();
     let each = f64::from(step.waiting.len() as u32) / f64::from(places.max(1));
     let room = |places: u32| need.part(each.min(1.0) * f64::from(places));
--- a/src/batch/dispatch/cell_report.rs
+++ b/src/batch/dispatch/cell_report.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Dispatcher, ReadyStep, charged};
+use super::{Dispatcher, ReadyStep, demand};
 use crate::batch::event::Event;
 use crate::batch::model::StepId;
 use crate::ids::{Timestamp, WorkspaceName};
@@ -65,7 +65,7 @@
 
     fn step_wait(&self, now: Timestamp, id: StepId, step: &ReadyStep, age: Duration) -> Event {
         let spec = &step.spec.steps[usize::from(id.step)];
-        let need = charged(spec);
+        let need = demand(spec);
         let step_advice = self.step_advice.get(&id);
         let mut suitable = self.candidates(id, step);
         suitable.retain(|m| self.has_permission(now, m, id, step, spec));
--- a/src/batch/dispatch/claims.rs
+++ b/src/batch/dispatch/claims.rs
@@ -11,7 +11,7 @@
 use super::advice::StepAdvice;
 use super::mechanisms::Mechanism;
 use super::minion::Minion;
-use super::run::{Run, RunState, charged};
+use super::run::{Run, RunState, demand};
 use super::{Dispatcher, ReadyStep};
 use crate::batch::event::Event;
 use crate::batch::model::{Grouping, Lifetime, MinionNumber, StepId, StepSpec, TaskId};
@@ -253,7 +253,7 @@
             id,
             step,
             spec,
-            need: charged(spec),
+            need: demand(spec),
         };
         let (units, size) = match spec.grouping {
             Grouping::Single => {
--- a/src/batch/dispatch/gangs.rs
+++ b/src/batch/dispatch/gangs.rs
@@ -4,7 +4,7 @@
 
 use super::advice::max_tasks_in;
 use super::place::Score;
-use super::{Dispatcher, ReadyStep, charged};
+use super::{Dispatcher, ReadyStep, demand};
 use crate::batch::ledger::Ledger;
 use crate::batch::model::{MinionNumber, StepId, StepSpec};
 use crate::ids::Timestamp;
@@ -53,7 +53,7 @@
     /// Minions that can run members of a gang, by rack, the best score first. A minion with claims
     /// counts for one member only.
     fn gang_places(&self, now: Timestamp, id: StepId, step: &ReadyStep, spec: &StepSpec) -> Places {
-        let need = charged(spec);
+        let need = demand(spec);
         let mut places = Places::new();
         for minion in self.minions.values() {
             if !self.may_run(now, minion, id, step, spec, &need) {
--- a/src/batch/dispatch/listings.rs
+++ b/src/batch/dispatch/listings.rs
@@ -8,7 +8,7 @@
 use super::minion::OrphanedRun;
 use super::order::{ListedEnd, ListedRun, Listing, MinionOrder, Order};
 use super::run::{RunState, StopState};
-use super::{Dispatcher, charged};
+use super::{Dispatcher, demand};
 use crate::batch::event::Event;
 use crate::batch::ledger::{End, Ledger};
 use crate::batch::model::{Checkpoint, EndKind, MinionNumber, RunNumber, TaskId};
@@ -351,7 +351,7 @@
     let spec = job.and_then(|job| job.spec.steps.get(usize::from(task.step.step)));
     let owner = job.and_then(|job| job.owner.clone());
     OrphanedRun {
-        room: spec.map_or_else(Default::default, charged),
+        room: spec.map_or_else(Default::default, demand),
         owned: owner.zip(spec.map(|spec| spec.need)),
         stop_sent: now,
     }
--- a/src/batch/dispatch/minion.rs
+++ b/src/batch/dispatch/minion.rs
@@ -149,8 +149,8 @@
     pub(super) acked_end: u64,
     /// Room of its runs, including runs that are being stopped.
     pub(super) used: Resources,
-    /// Millicores declared by filler tasks; not part of `used`.
-    pub(super) filling: u32,
+    /// Millicores declared by tasks that use idle CPU; not part of `used`.
+    pub(super) idle_cpu_demand: u32,
     /// Number of runs with a latency target.
     pub(super) serving: u32,
     pub(super) runs: BTreeSet<TaskId>,
@@ -195,7 +195,7 @@
             seen_end: 0,
             acked_end: 0,
             used: Resources::default(),
-            filling: 0,
+            idle_cpu_demand: 0,
             serving: 0,
             runs: BTreeSet::new(),
             orphaned_runs: BTreeMap::new(),
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -51,7 +51,7 @@
     StartRefusal, Target,
 };
 use ready::ReadyStep;
-use run::{Run, RunState, StopState, charged};
+use run::{Run, RunState, StopState, demand};
 
 /// Uncommitted batches at a time. Two keep the log busy while one is synced to disk; more would
 /// only make the batches smaller.
@@ -321,7 +321,7 @@
         self.utilizations.changed();
         if let Some(minion) = self.minions.get_mut(&run.minion) {
             minion.used = minion.used.saturating_add(&run.need);
-            minion.filling += run.fills;
+            minion.idle_cpu_demand += run.idle_cpu_demand;
             minion.serving += u32::from(run.serves);
             minion.trials += u32::from(run.suspicion == Suspicion::Trial);
             minion.runs.insert(id);
@@ -354,7 +354,7 @@
             && minion.runs.remove(&id)
         {
             minion.used = minion.used.saturating_sub(&run.need);
-            minion.filling -= run.fills;
+            minion.idle_cpu_demand -= run.idle_cpu_demand;
             minion.serving -= u32::from(run.serves);
             minion.trials -= u32::from(run.suspicion == Suspicion::Trial);
             self.utilizations.changed();
--- a/src/batch/dispatch/objective.rs
+++ b/src/batch/dispatch/objective.rs
@@ -7,7 +7,7 @@
 use super::Dispatcher;
 use super::advice::MIN_MINIONS_PER_QUESTION;
 use super::mechanisms::Mechanism;
-use super::run::charged;
+use super::run::demand;
 use crate::batch::ledger::Job;
 use crate::batch::model::{Grouping, Lifetime, StepId, StepSpec};
 use crate::ids::{ServiceName, Timestamp};
@@ -133,7 +133,7 @@
         let Some(room) = room.filter(|_| !together) else {
             return 1;
         };
-        let share = charged(step).dominant_share(room) * f64::from(step.count);
+        let share = demand(step).dominant_share(room) * f64::from(step.count);
         let own = job.owner.as_ref().and_then(|name| self.quotas.limit(name));
         let own = own.map_or(0.0, |limit| {
             step.need.dominant_share(limit) * f64::from(step.count)
--- a/src/batch/dispatch/place.rs
+++ b/src/batch/dispatch/place.rs
@@ -7,7 +7,7 @@
 use super::mechanisms::Mechanism;
 use super::minion::Minion;
 use super::quota::LimitState;
-use super::run::{Run, charged};
+use super::run::{Run, demand};
 use super::speed::Slowness;
 use super::utilization::Utilization;
 use super::{Dispatcher, ReadyStep};
@@ -159,7 +159,7 @@
         spec: &StepSpec,
         suspect: bool,
     ) -> Option<MinionNumber> {
-        let need = charged(spec);
+        let need = demand(spec);
         let candidates = self.candidates(id, step).into_iter();
         let candidates = candidates.filter(|m| self.may_run(now, m, id, step, spec, &need));
         let score = |m: &&Minion| self.score(m, step, spec, &need);
@@ -207,7 +207,8 @@
     ) -> bool {
         minion.trials == 0
             && need.fits_in(&minion.free())
-            && (!spec.fills || minion.filling + spec.need.millicores <= minion.free().millicores)
+            && (!spec.fills
+                || minion.idle_cpu_demand + spec.need.millicores <= minion.free().millicores)
             && self.leaves_claims(now, minion, step, spec, need)
             && self.has_permission(now, minion, id, step, spec)
     }
@@ -252,7 +253,7 @@
         // A task that uses idle CPU slows down latency-sensitive tasks on the same minion, so the
         // two kinds are kept apart.
         if (spec.fills && minion.serving > 0)
-            || (spec.latency_target.is_some() && minion.filling > 0)
+            || (spec.latency_target.is_some() && minion.idle_cpu_demand > 0)
         {
             return false;
         }
@@ -281,7 +282,7 @@
             .as_ref()
             .is_some_and(|rack| !minion.has_label(rack));
         let mut left = minion.free().saturating_sub(need);
-        left.millicores = left.millicores.saturating_sub(minion.filling);
+        left.millicores = left.millicores.saturating_sub(minion.idle_cpu_demand);
         let utilization = self.utilization(&minion.report.service);
         let slowness = self.speeds.slowness(&minion.pace);
         let urgent = step.queue.priority == 0 && spec.lifetime == Lifetime::Finite;
--- a/src/batch/dispatch/question_candidates.rs
+++ b/src/batch/dispatch/question_candidates.rs
@@ -6,7 +6,7 @@
 
 use super::advice::{MIN_MINIONS_PER_QUESTION, max_tasks_in};
 use super::minion::Minion;
-use super::run::charged;
+use super::run::demand;
 use super::speed::Slowness;
 use super::{Dispatcher, ReadyStep};
 use crate::batch::model::{AdviceTerms, MinionNumber, StepId};
@@ -92,7 +92,7 @@
             return Vec::new();
         };
         let spec = &step.spec.steps[usize::from(id.step)];
-        let need = charged(spec);
+        let need = demand(spec);
         let urgent = step.queue.priority == 0;
         let mut candidates = Vec::new();
         let mut availabilities = availabilities.iter().peekable();
--- a/src/batch/dispatch/run.rs
+++ b/src/batch/dispatch/run.rs
@@ -57,7 +57,7 @@
     pub(super) state: RunState,
     pub(super) stop: StopState,
     pub(super) need: Resources,
-    pub(super) fills: u32,
+    pub(super) idle_cpu_demand: u32,
     pub(super) serves: bool,
     /// On the minion's clock: no start order that was sent is carried out after this.
     pub(super) deadline: Duration,
@@ -108,8 +108,8 @@
             minion,
             state: RunState::Proposed,
             stop: StopState::No,
-            need: charged(spec),
-            fills: if spec.fills { spec.need.millicores } else { 0 },
+            need: demand(spec),
+            idle_cpu_demand: if spec.fills { spec.need.millicores } else { 0 },
             serves: spec.latency_target.is_some(),
             deadline: Duration::ZERO,
             tries: 0,
@@ -155,7 +155,7 @@
     /// CPU are charged with all CPU that they declare.
     pub(super) fn charge(&self, task: TaskId) -> Option<Charge<'_>> {
         let need = Resources {
-            millicores: self.need.millicores.max(self.fills),
+            millicores: self.need.millicores.max(self.idle_cpu_demand),
             ..self.need
         };
         Some(Charge {
@@ -172,8 +172,8 @@
     }
 }
 
-/// Resources that a task reserves on its minion; one that uses idle CPU reserves no CPU.
-pub(super) fn charged(spec: &StepSpec) -> Resources {
+/// Resources that a task demands of its minion; one that uses idle CPU demands no CPU.
+pub(super) fn demand(spec: &StepSpec) -> Resources {
     Resources {
         millicores: if spec.fills { 0 } else { spec.need.millicores },
         ..spec.need
