--- a/src/batch/agents.rs
+++ b/src/batch/agents.rs
@@ -10,7 +10,7 @@
 
 use tokio::sync::mpsc::UnboundedSender;
 
-use super::calls::{Down, OrderNumber};
+use super::calls::{OrderNumber, ServerMessage};
 use super::dispatch::{AdviceQuestion, MinionAnswer, MinionOrder, OrderKind, QuestionId, Target};
 use super::machine::OrderOutcome;
 use super::model::MinionNumber;
@@ -36,7 +36,7 @@
 }
 
 struct Agent {
-    tx: UnboundedSender<Down>,
+    tx: UnboundedSender<ServerMessage>,
     zone: ZoneName,
     /// Whether it runs on the leader's host; such an agent gets questions but no orders.
     on_leader_host: bool,
@@ -64,7 +64,7 @@
     pub fn add(
         &self,
         id: AgentId,
-        tx: UnboundedSender<Down>,
+        tx: UnboundedSender<ServerMessage>,
         zone: ZoneName,
         on_leader_host: bool,
     ) {
@@ -140,7 +140,7 @@
         for (id, orders) in batches.0 {
             if let Some(agent) = pool.agents.get(&id) {
                 // If the connection has just closed, `remove` returns the orders as unanswered.
-                let _ = agent.tx.send(Down::Orders(orders));
+                let _ = agent.tx.send(ServerMessage::Orders(orders));
             }
         }
     }
@@ -199,7 +199,7 @@
         };
         agent.backlog += question.cost;
         agent.questions.push((question.id, question.cost));
-        agent.tx.send(Down::Advise(question)).is_ok()
+        agent.tx.send(ServerMessage::Advise(question)).is_ok()
     }
 
     /// Removes an answered question from the agent's backlog.
--- a/src/batch/calls.rs
+++ b/src/batch/calls.rs
@@ -116,7 +116,7 @@
 
 /// Messages from entry hosts and followers to a control daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Up {
+pub enum AgentMessage {
     /// Sent first by processes that act as agents: the availability zone of the process.
     Hello(ZoneName),
     /// Answers of minions to forwarded orders.
@@ -131,7 +131,7 @@
 
 /// Messages from a control daemon to entry hosts and followers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Down {
+pub enum ServerMessage {
     /// Sent first and on every change: the leader and the members of the group.
     Lead {
         /// Whether the sender leads.
--- a/src/batch/election_watch.rs
+++ b/src/batch/election_watch.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-use super::calls::{Down, Up};
+use super::calls::{AgentMessage, ServerMessage};
 use crate::error::{Error, Result, Step};
 use crate::ids::Term;
 use crate::wire::{self, CellKeys};
@@ -80,11 +80,11 @@
     let mut pinged = false;
     loop {
         let read_timeout = if pinged { PONG_TIMEOUT } else { PING_AFTER };
-        match timeout(read_timeout, reader.read::<Down>()).await {
-            Ok(down) => {
+        match timeout(read_timeout, reader.read::<ServerMessage>()).await {
+            Ok(message) => {
                 pinged = false;
-                match down? {
-                    Some(Down::Lead {
+                match message? {
+                    Some(ServerMessage::Lead {
                         is_leader: true,
                         term,
                         ..
@@ -92,7 +92,7 @@
                         publish(elected, ElectedLeader { term, addr });
                         return Ok(());
                     }
-                    Some(Down::Lead {
+                    Some(ServerMessage::Lead {
                         leader: Some(leader),
                         term,
                         ..
@@ -107,7 +107,7 @@
             }
             Err(_) => {
                 pinged = true;
-                writer.write(&Up::Ping(0)).await?;
+                writer.write(&AgentMessage::Ping(0)).await?;
             }
         }
     }
--- a/src/batch/link.rs
+++ b/src/batch/link.rs
@@ -10,7 +10,9 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-use super::calls::{Call, CallNumber, CallReply, Down, OrderNumber, RETRY_AFTER, Up};
+use super::calls::{
+    AgentMessage, Call, CallNumber, CallReply, OrderNumber, RETRY_AFTER, ServerMessage,
+};
 use super::dispatch::MinionAnswer;
 use super::driver::{Minions, Policy, send_order};
 use super::election_watch::{ElectedLeader, Members, watch_elections};
@@ -268,9 +270,11 @@
     async fn connect(&mut self, addr: SocketAddr) -> Result<(FrameReader, FrameWriter, bool)> {
         let stream = wire::dial(addr, PONG_TIMEOUT * 2).await?;
         let (mut reader, mut writer) = wire::split_client(stream, &self.keys).await?;
-        writer.write(&Up::Hello(self.calls.zone.clone())).await?;
-        match reader.read::<Down>().await? {
-            Some(Down::Lead {
+        writer
+            .write(&AgentMessage::Hello(self.calls.zone.clone()))
+            .await?;
+        match reader.read::<ServerMessage>().await? {
+            Some(ServerMessage::Lead {
                 is_leader,
                 term,
                 leader,
@@ -301,12 +305,12 @@
     /// Exchanges messages with the leader until the connection fails or the peer no longer leads.
     async fn serve(&mut self, mut reader: FrameReader, mut writer: FrameWriter) -> Result<()> {
         let (tx, mut rx) = mpsc::unbounded_channel::<PendingCall>();
-        let (agent_tx, mut answers) = mpsc::unbounded_channel::<Up>();
+        let (agent_tx, mut answers) = mpsc::unbounded_channel::<AgentMessage>();
         let (done_tx, mut done) = mpsc::unbounded_channel::<(OrderNumber, MinionAnswer)>();
-        let (down_tx, mut downs) = mpsc::channel::<Down>(64);
+        let (message_tx, mut messages) = mpsc::channel::<ServerMessage>(64);
         let reading = tokio::spawn(async move {
-            while let Ok(Some(down)) = reader.read::<Down>().await {
-                if down_tx.send(down).await.is_err() {
+            while let Ok(Some(message)) = reader.read::<ServerMessage>().await {
+                if message_tx.send(message).await.is_err() {
                     break;
                 }
             }
@@ -334,14 +338,14 @@
                     while let Some(PendingCall { call, reply }) = next {
                         number += 1;
                         open.insert(number, reply);
-                        writer.queue(&Up::Call(number, call))?;
+                        writer.queue(&AgentMessage::Call(number, call))?;
                         next = rx.try_recv().ok();
                     }
                     flush(&mut writer).await?;
                 }
-                up = answers.recv() => {
-                    if let Some(up) = up {
-                        writer.queue(&up)?;
+                message = answers.recv() => {
+                    if let Some(message) = message {
+                        writer.queue(&message)?;
                         flush(&mut writer).await?;
                     }
                 }
@@ -351,16 +355,16 @@
                         while let Ok(next) = done.try_recv() {
                             answers.push(next);
                         }
-                        writer.queue(&Up::OrderAnswers(answers))?;
+                        writer.queue(&AgentMessage::OrderAnswers(answers))?;
                         flush(&mut writer).await?;
                     }
                 }
-                down = downs.recv() => {
+                message = messages.recv() => {
                     last_received = Instant::now();
                     pinged_at = None;
-                    match down {
+                    match message {
                         None => return Err(Error::new(Step::Transfer, "the connection ended")),
-                        Some(Down::Reply(number, reply)) => {
+                        Some(ServerMessage::Reply(number, reply)) => {
                             let not_leader = matches!(reply, CallReply::NotLeader(_));
                             if let CallReply::NotLeader(leader) = &reply {
                                 self.next_addr = *leader;
@@ -372,7 +376,7 @@
                                 return Ok(());
                             }
                         }
-                        Some(Down::Lead { is_leader, term, leader, members }) => {
+                        Some(ServerMessage::Lead { is_leader, term, leader, members }) => {
                             self.term = self.term.max(term);
                             let from = writer.peer().parse();
                             if let Ok(from) = from {
@@ -382,14 +386,14 @@
                                 return Ok(());
                             }
                         }
-                        Some(Down::Advise(question)) => {
+                        Some(ServerMessage::Advise(question)) => {
                             let (policy, agent_tx) = (self.calls.policy.clone(), agent_tx.clone());
                             tokio::spawn(async move {
                                 let advice = policy.advise(&question).await;
-                                let _ = agent_tx.send(Up::Advice(question.id, advice));
+                                let _ = agent_tx.send(AgentMessage::Advice(question.id, advice));
                             });
                         }
-                        Some(Down::Orders(orders)) => {
+                        Some(ServerMessage::Orders(orders)) => {
                             for (number, target, order) in orders {
                                 let (minions, done) = (self.calls.minions.clone(), done_tx.clone());
                                 tokio::spawn(async move {
@@ -398,7 +402,7 @@
                                 });
                             }
                         }
-                        Some(Down::Pong(_)) => {}
+                        Some(ServerMessage::Pong(_)) => {}
                     }
                 }
                 Ok(()) = self.elected.changed() => {
@@ -413,7 +417,7 @@
                         return Err(Error::new(Step::Transfer, "the connection fell silent"));
                     }
                     pinged_at = Some(Instant::now());
-                    writer.queue(&Up::Ping(number))?;
+                    writer.queue(&AgentMessage::Ping(number))?;
                     flush(&mut writer).await?;
                 }
             }
--- a/src/batch/server.rs
+++ b/src/batch/server.rs
@@ -11,7 +11,9 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use super::agents::{AgentId, Agents};
-use super::calls::{Call, CallReply, ClientReply, Down, OperatorReply, RETRY_AFTER, Up};
+use super::calls::{
+    AgentMessage, Call, CallReply, ClientReply, OperatorReply, RETRY_AFTER, ServerMessage,
+};
 use super::ledger::{Command, Reply};
 use super::link::{LeaderLink, NoAnswer};
 use super::machine::{Admission, Machine};
@@ -186,7 +188,7 @@
     async fn add_agent(
         &self,
         id: AgentId,
-        tx: &mpsc::UnboundedSender<Down>,
+        tx: &mpsc::UnboundedSender<ServerMessage>,
         zone: &ZoneName,
         on_this_host: bool,
     ) {
@@ -199,7 +201,7 @@
         &self,
         mut reader: FrameReader,
         id: u64,
-        tx: &mpsc::UnboundedSender<Down>,
+        tx: &mpsc::UnboundedSender<ServerMessage>,
     ) -> Result<()> {
         let mut status = self.replica.status();
         let (mut last_sent, message) = lead_message(&status.borrow_and_update());
@@ -208,10 +210,10 @@
         let mut zone: Option<ZoneName> = None;
         let on_this_host =
             reader.peer().split(':').next() == Some(self.host_ip.to_string().as_str());
-        let (frames_tx, mut frames) = mpsc::channel::<Up>(64);
+        let (frames_tx, mut frames) = mpsc::channel::<AgentMessage>(64);
         let reading = tokio::spawn(async move {
-            while let Ok(Some(up)) = reader.read::<Up>().await {
-                if frames_tx.send(up).await.is_err() {
+            while let Ok(Some(message)) = reader.read::<AgentMessage>().await {
+                if frames_tx.send(message).await.is_err() {
                     break;
                 }
             }
@@ -220,17 +222,17 @@
         let mut last_received = Instant::now();
         loop {
             tokio::select! {
-                up = frames.recv() => {
+                message = frames.recv() => {
                     last_received = Instant::now();
-                    match up {
+                    match message {
                         None => return Ok(()),
-                        Some(Up::Hello(peer_zone)) => {
+                        Some(AgentMessage::Hello(peer_zone)) => {
                             if last_sent.0 {
                                 self.add_agent(id, tx, &peer_zone, on_this_host).await;
                             }
                             zone = Some(peer_zone);
                         }
-                        Some(up) => self.handle(id, tx, up).await,
+                        Some(message) => self.handle(id, tx, message).await,
                     }
                 }
                 () = sleep_until(last_received + PEER_TIMEOUT) => {
@@ -260,34 +262,39 @@
     }
 
     /// Handles a message other than a hello.
-    async fn handle(&self, id: AgentId, tx: &mpsc::UnboundedSender<Down>, up: Up) {
-        match up {
-            Up::Call(number, call) => {
+    async fn handle(
+        &self,
+        id: AgentId,
+        tx: &mpsc::UnboundedSender<ServerMessage>,
+        message: AgentMessage,
+    ) {
+        match message {
+            AgentMessage::Call(number, call) => {
                 let (server, tx) = (self.clone(), tx.clone());
                 tokio::spawn(async move {
                     let reply = server.answer(call).await;
-                    let _ = tx.send(Down::Reply(number, reply));
+                    let _ = tx.send(ServerMessage::Reply(number, reply));
                 });
             }
-            Up::OrderAnswers(answers) => {
+            AgentMessage::OrderAnswers(answers) => {
                 let outcomes = self.agents.orders_answered(id, answers);
                 let reported = self
                     .replica
                     .inform(move |m, now| m.orders_answered(now, outcomes));
                 reported.await;
             }
-            Up::Advice(question, advice) => {
+            AgentMessage::Advice(question, advice) => {
                 self.agents.question_answered(id, question);
                 let reported = self
                     .replica
                     .inform(move |m, now| m.advice_received(now, question, advice));
                 reported.await;
             }
-            Up::Ping(number) => {
-                let _ = tx.send(Down::Pong(number));
+            AgentMessage::Ping(number) => {
+                let _ = tx.send(ServerMessage::Pong(number));
             }
             // Handled by `read_all`.
-            Up::Hello(_) => {}
+            AgentMessage::Hello(_) => {}
         }
     }
 }
@@ -295,10 +302,10 @@
 /// Whether this replica leads, the leader's address, and the addresses of the members.
 type LeaderInfo = (bool, Option<SocketAddr>, Vec<SocketAddr>);
 
-fn lead_message(status: &ReplicaStatus) -> (LeaderInfo, Down) {
+fn lead_message(status: &ReplicaStatus) -> (LeaderInfo, ServerMessage) {
     let is_leader = status.leader == Some(status.id);
     let info = (is_leader, status.leader_addr, status.call_addrs.clone());
-    let message = Down::Lead {
+    let message = ServerMessage::Lead {
         is_leader,
         term: status.term,
         leader: status.leader_addr,
@@ -321,7 +328,7 @@
     }
 }
 
-async fn write_all(mut writer: FrameWriter, mut rx: mpsc::UnboundedReceiver<Down>) {
+async fn write_all(mut writer: FrameWriter, mut rx: mpsc::UnboundedReceiver<ServerMessage>) {
     while let Some(first) = rx.recv().await {
         if writer.queue(&first).is_err() {
             return;
--- a/tests/batch_agents.rs
+++ b/tests/batch_agents.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use yuccahold::batch::agents::{AgentId, Agents, Batches};
-use yuccahold::batch::calls::Down;
+use yuccahold::batch::calls::ServerMessage;
 use yuccahold::batch::dispatch::{HoldOrder, MinionOrder, Target};
 
 const MINIONS: u32 = 350;
@@ -20,7 +20,7 @@
     }
 }
 
-fn add(agents: &Agents, id: AgentId, zone: &str) -> UnboundedReceiver<Down> {
+fn add(agents: &Agents, id: AgentId, zone: &str) -> UnboundedReceiver<ServerMessage> {
     let (tx, rx) = unbounded_channel();
     agents.add(id, tx, zone.into(), false);
     rx
@@ -29,7 +29,7 @@
 /// Sends one hold to each minion; returns the number of orders that each agent received.
 fn hold_all(
     agents: &Agents,
-    channels: &mut BTreeMap<AgentId, UnboundedReceiver<Down>>,
+    channels: &mut BTreeMap<AgentId, UnboundedReceiver<ServerMessage>>,
 ) -> BTreeMap<AgentId, usize> {
     let hold = MinionOrder::Hold(HoldOrder {
         deadline: None,
@@ -50,7 +50,7 @@
     agents.flush(batches);
     let taken = channels.iter_mut().map(|(id, rx)| {
         let orders = match rx.try_recv() {
-            Ok(Down::Orders(orders)) => orders.len(),
+            Ok(ServerMessage::Orders(orders)) => orders.len(),
             _ => 0,
         };
         (*id, orders)
--- a/tests/batch_link.rs
+++ b/tests/batch_link.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 use tokio::time::{Instant, timeout};
-use yuccahold::batch::calls::{Call, CallReply, Down, OperatorReply, Up};
+use yuccahold::batch::calls::{AgentMessage, Call, CallReply, OperatorReply, ServerMessage};
 use yuccahold::batch::dispatch::{
     Advice, AdviceQuestion, Answer, HoldAnswer, HoldOrder, Silence, StartOrder, Target,
 };
@@ -51,8 +51,8 @@
 /// A simulated control daemon: the messages it receives, and a sender for each connection.
 struct Control {
     addr: SocketAddr,
-    received: UnboundedReceiver<Up>,
-    connections: UnboundedReceiver<UnboundedSender<Down>>,
+    received: UnboundedReceiver<AgentMessage>,
+    connections: UnboundedReceiver<UnboundedSender<ServerMessage>>,
 }
 
 /// Whether a control daemon answers pings.
@@ -73,19 +73,21 @@
                 let Ok((mut reader, mut writer)) = wire::accept(stream, &keys()).await else {
                     continue;
                 };
-                let (tx, mut rx) = mpsc::unbounded_channel::<Down>();
+                let (tx, mut rx) = mpsc::unbounded_channel::<ServerMessage>();
                 let (received, pongs) = (received_tx.clone(), tx.clone());
                 tokio::spawn(async move {
-                    while let Ok(Some(up)) = reader.read::<Up>().await {
-                        if let (Up::Ping(number), Behavior::Responsive) = (&up, behavior) {
-                            let _ = pongs.send(Down::Pong(*number));
+                    while let Ok(Some(message)) = reader.read::<AgentMessage>().await {
+                        if let (AgentMessage::Ping(number), Behavior::Responsive) =
+                            (&message, behavior)
+                        {
+                            let _ = pongs.send(ServerMessage::Pong(*number));
                         }
-                        let _ = received.send(up);
+                        let _ = received.send(message);
                     }
                 });
                 tokio::spawn(async move {
-                    while let Some(down) = rx.recv().await {
-                        if writer.write(&down).await.is_err() {
+                    while let Some(message) = rx.recv().await {
+                        if writer.write(&message).await.is_err() {
                             return;
                         }
                     }
@@ -100,12 +102,12 @@
         }
     }
 
-    async fn connection(&mut self) -> UnboundedSender<Down> {
+    async fn connection(&mut self) -> UnboundedSender<ServerMessage> {
         let opened = timeout(TEST_TIMEOUT, self.connections.recv()).await;
         opened.expect("a connection in time").expect("it listens")
     }
 
-    async fn receive(&mut self) -> Up {
+    async fn receive(&mut self) -> AgentMessage {
         let received = timeout(TEST_TIMEOUT, self.received.recv()).await;
         received.expect("a message in time").expect("it listens")
     }
@@ -121,8 +123,13 @@
     LeaderLink::start(vec![seed], keys(), calls, log)
 }
 
-fn lead_message(is_leader: bool, term: Term, leader: SocketAddr, members: &[SocketAddr]) -> Down {
-    Down::Lead {
+fn lead_message(
+    is_leader: bool,
+    term: Term,
+    leader: SocketAddr,
+    members: &[SocketAddr],
+) -> ServerMessage {
+    ServerMessage::Lead {
         is_leader,
         term,
         leader: Some(leader),
@@ -142,22 +149,22 @@
     let link = link_from(hung.addr);
     let greeting = lead_message(true, 1, hung.addr, &members);
     let _open = hung.connection().await.send(greeting);
-    assert!(matches!(hung.receive().await, Up::Hello(_)));
+    assert!(matches!(hung.receive().await, AgentMessage::Hello(_)));
 
     let second = follower.connection().await;
     let _ = second.send(lead_message(false, 1, hung.addr, &members));
     let _ = second.send(lead_message(false, 2, next.addr, &members));
     let at_next = next.connection().await;
     let _ = at_next.send(lead_message(true, 2, next.addr, &members));
-    assert!(matches!(next.receive().await, Up::Hello(_)));
+    assert!(matches!(next.receive().await, AgentMessage::Hello(_)));
 
     let call = link.call(Call::GetConfig, Instant::now() + TEST_TIMEOUT);
     let answer = async {
-        let Up::Call(number, Call::GetConfig) = next.receive().await else {
+        let AgentMessage::Call(number, Call::GetConfig) = next.receive().await else {
             panic!("a call was expected");
         };
         let reply = CallReply::Operator(OperatorReply::Unavailable);
-        let _ = at_next.send(Down::Reply(number, reply));
+        let _ = at_next.send(ServerMessage::Reply(number, reply));
     };
     let (reply, ()) = tokio::join!(call, answer);
     assert_eq!(reply, Ok(CallReply::Operator(OperatorReply::Unavailable)));
@@ -174,11 +181,11 @@
     let link = link_from(leader.addr);
     let at_leader = leader.connection().await;
     let _ = at_leader.send(lead_message(true, 5, leader.addr, &members));
-    assert!(matches!(leader.receive().await, Up::Hello(_)));
+    assert!(matches!(leader.receive().await, AgentMessage::Hello(_)));
     let second = lagging.connection().await;
     let _ = second.send(lead_message(false, 4, earlier.addr, &members));
     // The link pings this connection only after it has read the message above.
-    assert!(matches!(lagging.receive().await, Up::Ping(_)));
+    assert!(matches!(lagging.receive().await, AgentMessage::Ping(_)));
     assert!(link.is_connected());
     assert!(earlier.connections.try_recv().is_err());
 }
--- a/tests/batch_server.rs
+++ b/tests/batch_server.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, timeout};
 use yuccahold::batch::agents::Agents;
-use yuccahold::batch::calls::{Down, Up};
+use yuccahold::batch::calls::{AgentMessage, ServerMessage};
 use yuccahold::batch::machine::Machine;
 use yuccahold::batch::server::CallServer;
 use yuccahold::replication::{Formation, Replica, ReplicaConfig};
@@ -76,12 +76,12 @@
         let stream = TcpStream::connect(self.addr).await.expect("it listens");
         let opened = wire::split_client(stream, &keys()).await;
         let (mut reader, mut writer) = opened.expect("the keys are the same");
-        let hello = Up::Hello("mixco".into());
+        let hello = AgentMessage::Hello("mixco".into());
         writer.write(&hello).await.expect("it reads");
         let leading = timeout(TEST_TIMEOUT, async {
             while !matches!(
                 reader.read().await,
-                Ok(Some(Down::Lead {
+                Ok(Some(ServerMessage::Lead {
                     is_leader: true,
                     ..
                 }))
@@ -134,7 +134,10 @@
     control.wait_for_agents(1).await;
     for number in 0..4 {
         sleep(Duration::from_millis(2_000)).await;
-        writer.write(&Up::Ping(number)).await.expect("it reads");
+        writer
+            .write(&AgentMessage::Ping(number))
+            .await
+            .expect("it reads");
     }
     assert_eq!(control.agents.count(), 1);
 }
