--- a/src/batch/dispatch/gangs.rs
+++ b/src/batch/dispatch/gangs.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Minions that can run members of a gang, by rack, the best score first. A minion with claims
+    /// Minions that can run members of a gang, by rack, the best score first. A minion with reservations
     /// counts for one member only.
     fn gang_places(&self, now: Timestamp, id: StepId, step: &ReadyStep, spec: &StepSpec) -> Places {
         let need = demand(spec);
@@ -60,7 +60,7 @@
                 continue;
             }
             let most = spec.max_per_minion.unwrap_or(u32::MAX);
-            let slots = if self.claims.is_open(minion.number) {
+            let slots = if self.reservations.is_open(minion.number) {
                 max_tasks_in(&minion.free(), &need).min(most)
             } else {
                 1
--- a/src/batch/dispatch/mechanisms.rs
+++ b/src/batch/dispatch/mechanisms.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
     /// Reserves room for tasks that cannot start yet.
-    Claims,
+    Reservations,
     /// Starts work in reserved room if it should end before the room is needed.
     Backfill,
     /// Stops less urgent runs for more urgent tasks.
@@ -35,7 +35,7 @@
 impl Mechanism {
     /// All mechanisms, in the order of the operators' documentation.
     pub const ALL: [Self; 12] = [
-        Self::Claims,
+        Self::Reservations,
         Self::Backfill,
         Self::Preemption,
         Self::Lateness,
@@ -52,7 +52,7 @@
     /// Name on the command line, as taken by [`Mechanisms::without`].
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Claims => "claims",
+            Self::Reservations => "claims",
             Self::Backfill => "backfill",
             Self::Preemption => "preemption",
             Self::Lateness => "lateness",
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -9,7 +9,6 @@
 mod answers;
 mod applied;
 mod cell_report;
-mod claims;
 mod crashes;
 mod excess;
 mod forecast;
@@ -27,6 +26,7 @@
 mod quota;
 mod ready;
 mod reports;
+mod reservations;
 mod restarts;
 mod run;
 mod speed;
@@ -113,7 +113,7 @@
     /// Jobs submitted above the weights of their workspaces.
     excess: excess::ExcessJobs,
     /// Resources reserved for waiting tasks in the current placement round.
-    claims: claims::Claims,
+    reservations: reservations::Reservations,
     /// Changes collected for the next batch.
     batch: Batch,
     /// Minions whose state changed since their last maintenance.
@@ -175,7 +175,7 @@
             releases: RefCell::new(HashMap::new()),
             quotas: quota::Quotas::default(),
             excess: excess::ExcessJobs::default(),
-            claims: claims::Claims::default(),
+            reservations: reservations::Reservations::default(),
             batch: Batch::default(),
             changed_minions: BTreeSet::new(),
             next_minion_scan: now,
--- a/src/batch/dispatch/place.rs
+++ b/src/batch/dispatch/place.rs
@@ -41,7 +41,7 @@
         self.placement_requested = false;
         self.place_at = now + IDLE_PLACE_PAUSE;
         self.refresh_utilization(now);
-        self.claims = self.claims.next_round(now);
+        self.reservations = self.reservations.next_round(now);
         self.quotas.next_round();
         let order = self.service_order(unix);
         let mut started = 0;
@@ -60,7 +60,7 @@
         if self.cfg.mechanisms.has(Mechanism::AskAhead) {
             self.ask_ahead(now);
         }
-        if self.claims.are_many() {
+        if self.reservations.are_many() {
             self.place_not_before = now + CROWDED_PAUSE;
         }
     }
@@ -95,13 +95,13 @@
         // A question about a lasting task names the minions on which resources are reserved for it,
         // so they are reserved first.
         if step.is_lasting() {
-            self.claim_room(now, unix, id, &step);
+            self.reserve_resources(now, unix, id, &step);
         }
         if let Some(terms) = step.queue.advice {
             self.ask(now, id, &step, terms, QuestionReason::Now);
         }
         if !step.is_lasting() {
-            self.claim_room(now, unix, id, &step);
+            self.reserve_resources(now, unix, id, &step);
         }
         self.ready.insert(id, step);
         placed
@@ -209,7 +209,7 @@
             && need.fits_in(&minion.free())
             && (!spec.fills
                 || minion.idle_cpu_demand + spec.need.millicores <= minion.free().millicores)
-            && self.leaves_claims(now, minion, step, spec, need)
+            && self.respects_reservations(now, minion, step, spec, need)
             && self.has_permission(now, minion, id, step, spec)
     }
 
--- a/src/batch/dispatch/question_candidates.rs
+++ b/src/batch/dispatch/question_candidates.rs
@@ -136,7 +136,8 @@
             let allowed = step_advice.allows(minion.number);
             let slowness = self.speeds.slowness(&minion.pace);
             candidates.push(Candidate {
-                reserved: step.is_lasting() && self.claims.tasks_of_step_on(minion.number, id) > 0,
+                reserved: step.is_lasting()
+                    && self.reservations.tasks_of_step_on(minion.number, id) > 0,
                 weight: weight
                     * if allowed {
                         WEIGHT_ALLOWED
--- a/src/batch/dispatch/claims.rs
+++ b/src/batch/dispatch/reservations.rs
@@ -1,8 +1,8 @@
-//! Claims: room reserved for tasks that cannot start yet, and preemption to free it.
+//! Reservations: room reserved for tasks that cannot start yet, and preemption to free it.
 //!
-//! Large tasks and gangs need the room of several runs at once. Without a claim, smaller tasks
+//! Large tasks and gangs need the room of several runs at once. Without a reservation, smaller tasks
 //! later in the order of service take each part as it comes free, and the large one waits for as
-//! long as there are small ones. All claims are recomputed in each round, in the order of service,
+//! long as there are small ones. All reservations are recomputed in each round, in the order of service,
 //! from the current state; none has to be released later, so none can leak.
 
 use std::collections::BTreeMap;
@@ -18,50 +18,51 @@
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
-/// Most tasks with a claim in one round. Each claim inspects the runs of all eligible minions, and
+/// Most tasks with a reservation in one round. Each reservation inspects the runs of all eligible minions, and
 /// a task behind this many others starts later than run time estimates are useful for.
-const MAX_CLAIMS: usize = 64;
+const MAX_RESERVATIONS: usize = 64;
 
-/// Number of claims from which on placement rounds are spaced out, as each claim inspects all
+/// Number of reservations from which on placement rounds are spaced out, as each reservation inspects all
 /// eligible minions.
-const MANY_CLAIMS: usize = 16;
+const MANY_RESERVATIONS: usize = 16;
 
-/// Wait after which claims of lasting tasks become strict: no other work may use the reserved room.
+/// Wait after which reservations of lasting tasks become strict: no other work may use the reserved room.
 const LASTING_STRICT_AFTER: Duration = Duration::from_secs(1);
 /// Wait after which lasting tasks preempt other runs instead of waiting for these to end.
 const LASTING_PREEMPT_AFTER: Duration = Duration::from_millis(2_500);
 /// How long a lasting task prefers the same minion without getting its room. A run there takes
 /// longer than expected and may hang.
-const STRICT_CLAIM_MAX: Duration = Duration::from_secs(3);
+const STRICT_RESERVATION_MAX: Duration = Duration::from_secs(3);
 
 /// Room of one minion that is reserved against all steps later in the order of service.
 #[derive(Clone, Copy, Debug)]
-struct Claim {
+struct Reservation {
     step: StepId,
     need: Resources,
     /// No other work may use the room, even if it should end in time.
     strict: bool,
-    /// When the task of this claim should start.
+    /// When the task of this reservation should start.
     starts: Timestamp,
 }
 
-/// Claims of one round.
+/// Reservations of one round.
 #[derive(Debug, Default)]
-pub(super) struct Claims {
-    by_minion: BTreeMap<MinionNumber, Vec<Claim>>,
+pub(super) struct Reservations {
+    by_minion: BTreeMap<MinionNumber, Vec<Reservation>>,
     count: usize,
-    /// Strict claims of the previous round, with the time since which each has been held.
+    /// Strict reservations of the previous round, with the time since which each has been held.
     strict_since: BTreeMap<(StepId, MinionNumber), Timestamp>,
 }
 
-impl Claims {
-    /// An empty set of claims for the next round that keeps the record of strict claims.
+impl Reservations {
+    /// An empty set of reservations for the next round that keeps the record of strict reservations.
     pub(super) fn next_round(&self, now: Timestamp) -> Self {
-        let claims = self.by_minion.iter();
-        let each = claims.flat_map(|(minion, claims)| claims.iter().map(|c| (c, *minion)));
-        let strict = each.filter(|(claim, _)| claim.strict);
-        let strict_since = strict.map(|(claim, minion)| {
-            let place = (claim.step, minion);
+        let reservations = self.by_minion.iter();
+        let each = reservations
+            .flat_map(|(minion, reservations)| reservations.iter().map(|c| (c, *minion)));
+        let strict = each.filter(|(reservation, _)| reservation.strict);
+        let strict_since = strict.map(|(reservation, minion)| {
+            let place = (reservation.step, minion);
             (place, self.strict_since.get(&place).copied().unwrap_or(now))
         });
         Self {
@@ -70,55 +71,60 @@
         }
     }
 
-    /// Whether a step held a strict claim on a minion in the previous round, for less than
-    /// `STRICT_CLAIM_MAX`.
-    fn was_claimed(&self, now: Timestamp, step: StepId, minion: MinionNumber) -> bool {
+    /// Whether a step held a strict reservation on a minion in the previous round, for less than
+    /// `STRICT_RESERVATION_MAX`.
+    fn was_reserved(&self, now: Timestamp, step: StepId, minion: MinionNumber) -> bool {
         let since = self.strict_since.get(&(step, minion));
-        since.is_some_and(|since| now < *since + STRICT_CLAIM_MAX)
+        since.is_some_and(|since| now < *since + STRICT_RESERVATION_MAX)
     }
 
     fn add(&mut self, waiting: WaitingStep, place: &Place) {
-        let claim = Claim {
+        let reservation = Reservation {
             step: waiting.id,
             need: waiting.need,
             strict: waiting.is_strict(),
             starts: place.starts,
         };
-        self.by_minion.entry(place.minion).or_default().push(claim);
+        self.by_minion
+            .entry(place.minion)
+            .or_default()
+            .push(reservation);
         self.count += 1;
     }
 
     fn remove(&mut self, places: &[Place]) {
         for place in places.iter().rev() {
-            let claims = self.by_minion.get_mut(&place.minion);
-            if claims.is_some_and(|claims| claims.pop().is_some()) {
+            let reservations = self.by_minion.get_mut(&place.minion);
+            if reservations.is_some_and(|reservations| reservations.pop().is_some()) {
                 self.count -= 1;
             }
         }
     }
 
-    fn on(&self, minion: MinionNumber) -> &[Claim] {
+    fn on(&self, minion: MinionNumber) -> &[Reservation] {
         self.by_minion.get(&minion).map_or(&[], Vec::as_slice)
     }
 
-    /// Sum of all claims on a minion.
+    /// Sum of all reservations on a minion.
     fn total(&self, minion: MinionNumber) -> Resources {
-        let needs = self.on(minion).iter().map(|claim| &claim.need);
+        let needs = self.on(minion).iter().map(|reservation| &reservation.need);
         needs.fold(Resources::ZERO, |sum, need| sum.saturating_add(need))
     }
 
-    /// Number of a step's claims on a minion.
+    /// Number of a step's reservations on a minion.
     pub(super) fn tasks_of_step_on(&self, minion: MinionNumber, step: StepId) -> u32 {
-        let claims = self.on(minion).iter();
-        claims.filter(|claim| claim.step == step).count() as u32
+        let reservations = self.on(minion).iter();
+        reservations
+            .filter(|reservation| reservation.step == step)
+            .count() as u32
     }
 
-    /// Whether there are so many claims that placement rounds should be spaced out.
+    /// Whether there are so many reservations that placement rounds should be spaced out.
     pub(super) fn are_many(&self) -> bool {
-        self.count >= MANY_CLAIMS
+        self.count >= MANY_RESERVATIONS
     }
 
-    /// Whether a minion has no claims.
+    /// Whether a minion has no reservations.
     pub(super) fn is_open(&self, minion: MinionNumber) -> bool {
         self.on(minion).is_empty()
     }
@@ -160,7 +166,7 @@
             .is_none_or(|at| latest_start(by_preemption).is_some_and(|sooner| sooner < at))
     }
 
-    /// Whether lasting tasks have waited so long that their claims are strict.
+    /// Whether lasting tasks have waited so long that their reservations are strict.
     fn is_strict(&self) -> bool {
         self.step.is_lasting() && self.now > self.step.since + LASTING_STRICT_AFTER
     }
@@ -195,8 +201,8 @@
 }
 
 impl Dispatcher {
-    /// Whether one more task may start on a minion without delaying the tasks with claims there.
-    pub(super) fn leaves_claims(
+    /// Whether one more task may start on a minion without delaying the tasks with reservations there.
+    pub(super) fn respects_reservations(
         &self,
         now: Timestamp,
         minion: &Minion,
@@ -204,20 +210,28 @@
         spec: &StepSpec,
         need: &Resources,
     ) -> bool {
-        let claims = self.claims.on(minion.number);
-        let Some(last) = claims.iter().map(|claim| claim.starts).max() else {
+        let reservations = self.reservations.on(minion.number);
+        let Some(last) = reservations
+            .iter()
+            .map(|reservation| reservation.starts)
+            .max()
+        else {
             return true;
         };
-        let reserved = self.claims.total(minion.number);
+        let reserved = self.reservations.total(minion.number);
         if reserved.saturating_add(need).fits_in(&minion.free()) {
             return true;
         }
         // Expected ends are rough. Work that should end in time but does not would delay a lasting
         // task again and again, for as long as there is more of it.
-        if claims.iter().any(|claim| claim.strict) {
+        if reservations.iter().any(|reservation| reservation.strict) {
             return false;
         }
-        let in_time = |end| claims.iter().all(|claim| end <= claim.starts);
+        let in_time = |end| {
+            reservations
+                .iter()
+                .all(|reservation| end <= reservation.starts)
+        };
         let ends = || now + self.expected_time(&step.queue.name, spec.estimate);
         if spec.lifetime == Lifetime::Finite
             && self.cfg.mechanisms.has(Mechanism::Backfill)
@@ -231,12 +245,12 @@
         reserved.saturating_add(need).fits_in(&room)
     }
 
-    /// Claims room for the waiting tasks of a step, and preempts less urgent runs if the job can
+    /// Reserves room for the waiting tasks of a step, and preempts less urgent runs if the job can
     /// meet its objective only that way.
     ///
-    /// Preempting without a claim does not work: one urgent task with a ticket and no room had 225
+    /// Preempting without a reservation does not work: one urgent task with a ticket and no room had 225
     /// runs stopped in 4 s, as each was placed again before enough room was free.
-    pub(super) fn claim_room(
+    pub(super) fn reserve_resources(
         &mut self,
         now: Timestamp,
         unix: Timestamp,
@@ -244,7 +258,8 @@
         step: &ReadyStep,
     ) {
         let spec = &step.spec.steps[usize::from(id.step)];
-        if spec.fills || step.is_expired(unix) || !self.cfg.mechanisms.has(Mechanism::Claims) {
+        if spec.fills || step.is_expired(unix) || !self.cfg.mechanisms.has(Mechanism::Reservations)
+        {
             return;
         }
         let waiting = WaitingStep {
@@ -263,15 +278,15 @@
             Grouping::Gang => (1, step.waiting.len()),
         };
         for _ in 0..units {
-            let full = self.claims.count + size > MAX_CLAIMS;
-            if full || !self.claim_unit(waiting, size) {
+            let full = self.reservations.count + size > MAX_RESERVATIONS;
+            if full || !self.reserve_unit(waiting, size) {
                 return;
             }
         }
     }
 
-    /// Claims room for `size` tasks that start together; false if no room for them is expected.
-    fn claim_unit(&mut self, waiting: WaitingStep, size: usize) -> bool {
+    /// Reserves room for `size` tasks that start together; false if no room for them is expected.
+    fn reserve_unit(&mut self, waiting: WaitingStep, size: usize) -> bool {
         let expected = self.places(waiting, size, PlaceSource::ExpectedEnds);
         if expected.as_deref().is_some_and(|p| waiting.is_in_time(p))
             || !self.may_preempt_for(waiting)
@@ -279,17 +294,17 @@
             return expected.is_some();
         }
         let expected = expected.unwrap_or_default();
-        self.claims.remove(&expected);
+        self.reservations.remove(&expected);
         if let Some(places) = self.places(waiting, size, PlaceSource::Preemption) {
             if waiting.is_preemption_better(&places, &expected) {
                 self.preempt(waiting, places);
                 return true;
             }
-            self.claims.remove(&places);
+            self.reservations.remove(&places);
         }
-        // The room is claimed even so: work that is late still starts in its order.
+        // The room is reserved even so: work that is late still starts in its order.
         for place in &expected {
-            self.claims.add(waiting, place);
+            self.reservations.add(waiting, place);
         }
         !expected.is_empty()
     }
@@ -321,7 +336,7 @@
         }
     }
 
-    /// Finds and claims a place for each of `size` tasks, or for none of them.
+    /// Finds and reserves a place for each of `size` tasks, or for none of them.
     fn places(
         &mut self,
         waiting: WaitingStep,
@@ -331,10 +346,10 @@
         let mut places: Vec<Place> = Vec::with_capacity(size);
         for _ in 0..size {
             let Some(place) = self.best_place(waiting, &places, source) else {
-                self.claims.remove(&places);
+                self.reservations.remove(&places);
                 return None;
             };
-            self.claims.add(waiting, &place);
+            self.reservations.add(waiting, &place);
             places.push(place);
         }
         Some(places)
@@ -342,7 +357,7 @@
 
     /// The place with the least preemption cost, then the earliest. A lasting task stays on the
     /// minion of the previous round unless another one has room now: expected ends are rough, and a
-    /// claim that moves with them is lost each time before its room is free.
+    /// reservation that moves with them is lost each time before its room is free.
     fn best_place(
         &self,
         waiting: WaitingStep,
@@ -351,7 +366,8 @@
     ) -> Option<Place> {
         let WaitingStep { now, id, .. } = waiting;
         let is_new_place = |place: &Place| {
-            let stays = place.starts <= now || self.claims.was_claimed(now, id, place.minion);
+            let stays =
+                place.starts <= now || self.reservations.was_reserved(now, id, place.minion);
             waiting.is_strict() && !stays
         };
         let mut best: Option<Place> = None;
@@ -379,15 +395,17 @@
     fn could_run(&self, minion: &Minion, waiting: WaitingStep) -> bool {
         let WaitingStep { now, id, step, .. } = waiting;
         let most = waiting.spec.max_per_minion.unwrap_or(u32::MAX);
-        let own =
-            || self.tasks_of_step_on(minion, id) + self.claims.tasks_of_step_on(minion.number, id);
+        let own = || {
+            self.tasks_of_step_on(minion, id)
+                + self.reservations.tasks_of_step_on(minion.number, id)
+        };
         waiting.need.fits_in(&minion.report.capacity)
             && self.is_eligible(now, minion, id, step, waiting.spec)
             && own() < most
     }
 
     fn place_at_expected_end(&self, minion: &Minion, waiting: WaitingStep) -> Option<Place> {
-        let reserved = self.claims.total(minion.number);
+        let reserved = self.reservations.total(minion.number);
         let starts =
             self.fits_from(waiting.now, minion, &reserved.saturating_add(&waiting.need))?;
         Some(Place {
@@ -408,7 +426,7 @@
     ) -> Option<Place> {
         let now = waiting.now;
         let required = self
-            .claims
+            .reservations
             .total(minion.number)
             .saturating_add(&waiting.need);
         let mut room = minion.free();
--- a/tests/batch_claims.rs
+++ b/tests/batch_claims.rs
@@ -1,4 +1,4 @@
-//! Claims of room for large tasks and gangs, and preemption for them.
+//! Reservations of room for large tasks and gangs, and preemption for them.
 
 mod batch_world;
 
@@ -89,9 +89,9 @@
 /// A minion is full of small overlays when a render is submitted that needs all of it. The overlays
 /// would run so long that the render would be late, so they are preempted. Their room comes free
 /// piece by piece, and each preempted overlay waits to resume and would fit there. The room must
-/// stay claimed until all of it is free: the render starts, and no overlay is preempted twice.
+/// stay reserved until all of it is free: the render starts, and no overlay is preempted twice.
 #[test]
-fn room_freed_by_preemption_stays_claimed_until_it_suffices() {
+fn room_freed_by_preemption_stays_reserved_until_it_suffices() {
     let mut world = World::new();
     let minion = world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, overlays(), vec![on_accelerators(8, 1, 20_000)]);
@@ -148,7 +148,7 @@
 /// Overlays that should end before the long run are backfilled into the idle room; longer ones
 /// wait, as each would delay the render.
 #[test]
-fn claimed_room_is_backfilled_by_work_that_ends_in_time() {
+fn reserved_room_is_backfilled_by_work_that_ends_in_time() {
     let mut world = World::new();
     world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, renders(), vec![on_accelerators(1, 4, 6_000)]);
@@ -160,10 +160,10 @@
 }
 
 /// A gang of two needs all of both minions, which run tasks that end at different times. The minion
-/// that comes free first stays claimed; otherwise small work would take it before the other is
+/// that comes free first stays reserved; otherwise small work would take it before the other is
 /// free.
 #[test]
-fn room_is_claimed_for_all_members_of_a_gang() {
+fn room_is_reserved_for_all_members_of_a_gang() {
     let mut world = World::new();
     let first = world.join_as(accelerator_minion("i-1", 1));
     world.join_as(accelerator_minion("i-2", 2));
@@ -184,9 +184,9 @@
     assert_eq!(jobs_of(&world.start_all()), [] as [JobId; 0]);
 }
 
-/// A step that fits on no minion claims no room and preempts nothing.
+/// A step that fits on no minion reserves no room and preempts nothing.
 #[test]
-fn a_task_larger_than_every_minion_claims_no_room() {
+fn a_task_larger_than_every_minion_reserves_no_room() {
     let mut world = World::new();
     world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, renders(), vec![on_accelerators(1, 9, 4_000)]);
