--- a/tests/batch_advice.rs
+++ b/tests/batch_advice.rs
@@ -2,7 +2,10 @@
 
 mod batch_world;
 
-use batch_world::{JOB, World, lasting, listed, ms, one_each, plans, queue, report, saving, step};
+use batch_world::{
+    JOB, World, checkpointed, lasting, listed, low_priority_queue, ms, one_per_minion, queue,
+    report, step,
+};
 use yuccahold::batch::dispatch::{Advice, AdviceQuestion, Listing, StartOrder};
 use yuccahold::batch::ledger::Command;
 use yuccahold::batch::model::{AdviceTerms, EndKind, Queue, StepSpec};
@@ -42,7 +45,7 @@
 #[test]
 fn questions_skip_minions_at_their_limit_of_a_step() {
     let mut world = World::new();
-    let spread = one_each(8, 1_000);
+    let spread = one_per_minion(8, 1_000);
     world.join_all("i", 0..8);
     let mut ninth = report("i-8", 8);
     ninth.labels.push("ninth".into());
@@ -60,7 +63,7 @@
     world.submit(JOB + 1, vec![other]);
     starts.extend(world.start_all());
     for _ in 0..40 {
-        world.pass(ms(100));
+        world.advance(ms(100));
         answer_holds(&mut world, &starts);
     }
     world.take_questions();
@@ -73,7 +76,7 @@
     for _ in 0..20 {
         let questions = world.take_questions();
         for _ in 0..5 {
-            world.pass(ms(100));
+            world.advance(ms(100));
             answer_holds(&mut world, &starts);
         }
         for question in questions {
@@ -144,7 +147,7 @@
     world
         .leader
         .advice_received(world.now, question.id, Some(nobody));
-    world.pass(ms(300));
+    world.advance(ms(300));
     let question = world.take_questions().remove(0);
     assert_eq!(question.minions.len(), 30);
 }
@@ -156,13 +159,13 @@
 fn nothing_is_stopped_while_a_ticket_would_do() {
     let mut world = World::new();
     world.join("i-full", 1);
-    world.submit_to(JOB + 1, plans(), vec![saving(1, 32_000)]);
+    world.submit_to(JOB + 1, low_priority_queue(), vec![checkpointed(1, 32_000)]);
     world.start_all();
     world.submit_to(JOB, advised_queue(), vec![step(1, 1_000)]);
     let question = world.take_questions().remove(0);
     world.join("i-free", 2);
     allow_all(&mut world, &question);
-    world.pass(ms(200));
+    world.advance(ms(200));
     let questions = world.take_questions();
     let asked: Vec<_> = questions.iter().map(|q| q.minions.clone()).collect();
     assert_eq!(asked, [["i-free"]]);
@@ -173,7 +176,7 @@
     world
         .leader
         .advice_received(world.now, latest, Some(nobody));
-    world.pass(ms(100));
+    world.advance(ms(100));
     assert_eq!(world.take_stops().len(), 1);
 }
 
@@ -191,7 +194,7 @@
     world.submit(JOB + 1, vec![lasting(30, 32_000)]);
     world.start_all();
     world.join_all("i", 30..60);
-    world.pass(ms(4_100));
+    world.advance(ms(4_100));
     let second = world.take_questions().remove(0);
     assert!(second.minions.iter().all(|m| !first.minions.contains(m)));
 
@@ -215,11 +218,11 @@
     };
     for job in JOB..JOB + 4 {
         world.submit_to(job, queue.clone(), vec![lasting(1, 1_000)]);
-        world.pass(ms(200));
+        world.advance(ms(200));
     }
     assert_eq!(world.take_questions().len(), 4);
     for _ in 0..50 {
-        world.pass(ms(100));
+        world.advance(ms(100));
     }
     assert!(!world.take_questions().is_empty());
 }
@@ -231,20 +234,20 @@
     let mut world = World::new();
     world.leader.set_agents(100);
     world.join_all("i", 0..200);
-    world.submit(JOB, vec![one_each(200, 24_000)]);
+    world.submit(JOB, vec![one_per_minion(200, 24_000)]);
     assert_eq!(world.start_all().len(), 200);
     let mut questions = Vec::new();
     for job in 1..=10 {
         world.submit_to(job, advised_queue(), vec![step(10, 7_000)]);
         questions.extend(world.take_questions());
-        world.pass(ms(5));
+        world.advance(ms(5));
     }
     assert_eq!(questions.len(), 10);
     for question in &questions {
         allow_all(&mut world, question);
     }
     assert_eq!(world.take_starts().len(), 100);
-    world.pass(ms(100));
+    world.advance(ms(100));
     assert_eq!(world.take_questions().len(), 0);
 }
 
@@ -255,10 +258,14 @@
     let mut world = World::new();
     world.leader.set_agents(10);
     world.join_all("i-free", 0..30);
-    world.submit(JOB, vec![one_each(30, 24_000)]);
+    world.submit(JOB, vec![one_per_minion(30, 24_000)]);
     world.start_all();
     world.join_all("i-full", 30..90);
-    world.submit_to(JOB + 1, plans(), vec![saving(60, 32_000)]);
+    world.submit_to(
+        JOB + 1,
+        low_priority_queue(),
+        vec![checkpointed(60, 32_000)],
+    );
     assert_eq!(world.start_all().len(), 60);
 
     world.submit_to(JOB + 2, advised_queue(), vec![step(7, 7_000)]);
--- a/tests/batch_capacity.rs
+++ b/tests/batch_capacity.rs
@@ -71,7 +71,7 @@
     let batch = world.propose_only().expect("a start");
     world.leader.report(world.now, report_before_commit);
     world.now += ms(5_000);
-    world.agree(batch);
+    world.commit(batch);
     assert_eq!(world.take_starts().len(), 0);
     world.join("i-2", 2);
     world.decide();
@@ -97,7 +97,7 @@
 fn no_member_of_a_gang_starts_when_one_of_its_minions_leaves() {
     let (mut world, batch) = gang_proposed();
     world.leader.report(world.now, draining("i-2", 2));
-    world.agree(batch);
+    world.commit(batch);
     assert_eq!(world.take_starts().len(), 0);
     world.join("i-4", 4);
     world.decide();
@@ -112,10 +112,10 @@
     let gone = gone.expect("it joined");
     let (now, answer) = (world.now, HoldAnswer::OtherIncarnation);
     world.leader.held(now, gone, now, answer, &world.ledger);
-    world.agree(batch);
+    world.commit(batch);
     assert_eq!(world.take_starts().len(), 0);
     world.join("i-4", 4);
-    world.pass(ms(200));
+    world.advance(ms(200));
     assert_eq!(world.take_starts().len(), 3);
 }
 
--- a/tests/batch_claims.rs
+++ b/tests/batch_claims.rs
@@ -96,7 +96,7 @@
     let minion = world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, overlays(), vec![on_accelerators(8, 1, 20_000)]);
     assert_eq!(world.start_all().len(), 8);
-    world.pass(ms(3_000));
+    world.advance(ms(3_000));
     world.submit_to(2, renders(), vec![on_accelerators(1, 8, 4_000)]);
     let stops = world.take_stops();
     assert_eq!(stops.len(), 8);
@@ -107,7 +107,7 @@
         let started = jobs_of(&world.start_all());
         let expected: &[JobId] = if i == 7 { &[2] } else { &[] };
         assert_eq!(started, expected, "after {} ends", i + 1);
-        world.pass(ms(20));
+        world.advance(ms(20));
         assert_eq!(world.take_stops().len(), 0);
     }
 }
@@ -120,14 +120,14 @@
     world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, overlays(), vec![on_accelerators(8, 1, 20_000)]);
     world.start_all();
-    world.pass(ms(3_000));
+    world.advance(ms(3_000));
     let tight_objective = Queue {
         slo: ms(0),
         stretch: 0.85,
         ..renders()
     };
     world.submit_to(2, tight_objective, vec![on_accelerators(1, 8, 4_000)]);
-    world.pass(ms(100));
+    world.advance(ms(100));
     assert_eq!(world.take_stops().len(), 0);
 }
 
@@ -138,9 +138,9 @@
     world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, overlays(), vec![on_accelerators(8, 1, 5_000)]);
     world.start_all();
-    world.pass(ms(3_000));
+    world.advance(ms(3_000));
     world.submit_to(2, renders(), vec![on_accelerators(1, 8, 4_000)]);
-    world.pass(ms(100));
+    world.advance(ms(100));
     assert_eq!(world.take_stops().len(), 0);
 }
 
@@ -177,7 +177,7 @@
     };
     world.submit_to(3, renders(), vec![gang]);
     world.submit_to(4, overlays(), vec![on_accelerators(4, 1, 20_000)]);
-    world.pass(ms(2_000));
+    world.advance(ms(2_000));
     assert_eq!(early[0].0, first);
     let done = ends(&[(1, 0, 1)], 1, EndKind::Done);
     world.list(first, Vec::new(), done);
--- a/tests/batch_crashes.rs
+++ b/tests/batch_crashes.rs
@@ -35,14 +35,14 @@
     let crashing_task = first_step(JOB).task(0);
     cell.crashers.insert(crashing_task);
     cell.start_answer = answer;
-    cell.lists_late_by = list_delay;
-    cell.away = away;
+    cell.listing_delay = list_delay;
+    cell.restart_delay = away;
     cell.submit(JOB, vec![step(1, 1_000)]);
     cell.run(ms(60_000));
     assert_eq!(cell.state(JOB), Some(JobState::Failed));
     assert!(cell.crashed <= most_crashes, "{} crashes", cell.crashed);
     assert!(cell.starts[&crashing_task] <= MOST_STARTS);
-    assert_eq!(cell.broken, [""; 0]);
+    assert_eq!(cell.violations, [""; 0]);
 }
 
 /// Crashes are counted across changes of leader, including crashes that no leader observes.
@@ -65,7 +65,7 @@
     cell.run(ms(60_000));
     assert_eq!(cell.state(JOB), Some(JobState::Failed));
     assert!(cell.starts[&crashing_task] <= MOST_STARTS);
-    assert_eq!(cell.broken, [""; 0]);
+    assert_eq!(cell.violations, [""; 0]);
 }
 
 /// Tasks that start on the same minion as one that crashes it are not blamed for the crash.
@@ -88,7 +88,7 @@
     assert_eq!(ends(&[JOB]), [Some(JobState::Failed)]);
     assert_eq!(ends(&others), [Some(JobState::Done); 12]);
     assert!(cell.crashed <= MOST_CRASHES, "{} crashes", cell.crashed);
-    assert_eq!(cell.broken, [""; 0]);
+    assert_eq!(cell.violations, [""; 0]);
 }
 
 /// Two tasks that crash their minions are identified among the tasks that run beside them.
@@ -113,7 +113,7 @@
         assert!(cell.crashes[&crashing_task] <= MOST_CRASHES);
         assert!(cell.starts[&crashing_task] <= MOST_STARTS);
     }
-    assert_eq!(cell.broken, [""; 0]);
+    assert_eq!(cell.violations, [""; 0]);
 }
 
 /// A gang with a member that crashes its minions is given up like a single task.
@@ -141,7 +141,7 @@
     cell.run(ms(20_000));
     assert_eq!(cell.state(JOB), Some(JobState::Running));
     assert_eq!(cell.ports_of(first_step(JOB).task(0)).len(), 1);
-    assert_eq!(cell.broken, [""; 0]);
+    assert_eq!(cell.violations, [""; 0]);
 }
 
 /// A lasting task that crashes the minions that start it is given up like a finite one.
@@ -193,13 +193,13 @@
             }
             2 => cell.start_answer = StartAnswer::Lost,
             3 => cell.start_answer = StartAnswer::Delivered,
-            4 => cell.lists_late_by = ms(rng.random_range(0..300)),
-            5 => cell.away = ms(rng.random_range(500..9_000)),
+            4 => cell.listing_delay = ms(rng.random_range(0..300)),
+            5 => cell.restart_delay = ms(rng.random_range(500..9_000)),
             _ => {}
         }
     }
     cell.run(ms(90_000));
-    assert_eq!(cell.broken, [""; 0], "seed {seed}");
+    assert_eq!(cell.violations, [""; 0], "seed {seed}");
     for job in &jobs {
         if crashing.contains(&job) {
             assert_eq!(cell.state(*job), Some(JobState::Failed), "seed {seed}");
@@ -207,10 +207,10 @@
             cell.assert_done_or_given_up(*job, seed);
         }
     }
-    let excess_starts = cell.starts_too_many.iter();
+    let excess_starts = cell.excess_starts.iter();
     let excess_starts = excess_starts.filter(|(task, _)| cell.crashers.contains(task));
     let most = excess_starts.map(|(_, n)| n).max();
-    assert!(most <= Some(&2), "seed {seed}: {:?}", cell.starts_too_many);
+    assert!(most <= Some(&2), "seed {seed}: {:?}", cell.excess_starts);
 }
 
 /// A run that was running for a while when its minion's connection broke is not suspected, although
--- a/tests/batch_departures.rs
+++ b/tests/batch_departures.rs
@@ -61,7 +61,7 @@
             let (now, ledger) = (world.now, &world.ledger);
             world.leader.held(now, minion, sent, answer, ledger);
         }
-        world.pass(TICK);
+        world.advance(TICK);
     }
     if let Some((sent, _)) = due {
         lose_hold(world, minion, sent);
@@ -93,7 +93,7 @@
         if let Some(sent) = asked.take_if(|sent| world.now >= *sent + CALL_TIMEOUT) {
             lose_hold(world, minion, sent);
         }
-        world.pass(TICK);
+        world.advance(TICK);
     }
     world.now - ended
 }
@@ -248,10 +248,10 @@
     world.list(minion, vec![listed(&start)], Vec::new());
     let carried_out = hold_to(&mut world, minion);
     let lease_ends = carried_out.deadline.expect("the minion answers");
-    world.pass(carried_out.wait);
+    world.advance(carried_out.wait);
     world.list(minion, vec![listed(&start)], Vec::new());
     let lost = hold_to(&mut world, minion);
-    world.pass(lost.wait + STUCK_AGENT_TIMEOUT);
+    world.advance(lost.wait + STUCK_AGENT_TIMEOUT);
     world.silent_hold(minion);
     world.list(minion, vec![listed(&start)], Vec::new());
     let next = hold_to(&mut world, minion);
@@ -290,7 +290,7 @@
     let mut world = World::with(long_leases());
     let minion = world.join("i-1", 1);
     let first_term = world.now;
-    world.pass(ms(1_000));
+    world.advance(ms(1_000));
     world.new_leader(3);
     let clock = world.now;
     let listing = Listing {
--- a/tests/batch_leases.rs
+++ b/tests/batch_leases.rs
@@ -23,7 +23,7 @@
     let fell_silent = world.now;
     let mut restarted = None;
     while world.now < fell_silent + ms(12_000) && restarted.is_none() {
-        world.pass(ms(50));
+        world.advance(ms(50));
         for (minion, _) in world.take_holds() {
             if minion == gone {
                 world.silent_hold(gone);
@@ -51,7 +51,7 @@
     world.take_holds();
     world.submit(JOB, vec![step(1, 1000)]);
     world.start_all();
-    world.pass(ms(20));
+    world.advance(ms(20));
     let waits: Vec<_> = world.take_holds().iter().map(|(_, h)| h.wait).collect();
     world.silent_hold(minion);
     let again: Vec<_> = world.take_holds().iter().map(|(_, h)| h.wait).collect();
@@ -91,7 +91,7 @@
     let minion = world.join("i-1", 1);
     world.submit(JOB, vec![step(1, 1_000)]);
     assert_eq!(world.start_all().len(), 1);
-    world.pass(ms(50));
+    world.advance(ms(50));
     for (unreadable, started) in [(1, 0), (0, 1)] {
         world.take_holds();
         let clock = world.now;
@@ -103,7 +103,7 @@
                 ..Listing::default()
             },
         );
-        world.pass(ms(200));
+        world.advance(ms(200));
         assert_eq!(
             world.take_starts().len(),
             started,
@@ -133,9 +133,9 @@
     };
     world.apply(&config(1, &["other"]));
     world.leader.report(world.now, report("i-1", 1));
-    world.pass(ms(10));
+    world.advance(ms(10));
     assert_eq!(world.take_holds().len(), 0);
     world.apply(&config(2, &["other", "desk"]));
-    world.pass(ms(10));
+    world.advance(ms(10));
     assert_eq!(world.take_holds().len(), 1);
 }
--- a/tests/batch_ledger.rs
+++ b/tests/batch_ledger.rs
@@ -58,7 +58,7 @@
     let mut world = World::new();
     let snapshot = include_bytes!("cases/ledger/format-2-snapshot.bin");
     world.ledger = Ledger::from_bytes(snapshot).expect("a snapshot");
-    world.limit(8, &[("a", 1)]);
+    world.set_limits(8, &[("a", 1)]);
     world.new_leader(2);
     world.join("i-3", 3);
     world.submit(JOB + 9, vec![step(2, 1000)]);
@@ -82,7 +82,7 @@
     world.take_holds();
     world.end(minion, number, &start, kind);
     // A minion with two consecutive failures gets no runs for a second.
-    world.pass(ms(9_000));
+    world.advance(ms(9_000));
 }
 
 #[rstest]
@@ -215,7 +215,7 @@
         },
     );
     let before_deadline = world.take_starts().len();
-    world.pass(ms(2_000));
+    world.advance(ms(2_000));
     world.take_holds();
     let clock = world.now;
     world.listing(
@@ -240,7 +240,7 @@
     world.apply(&Command::Cancel { job: JOB });
     world.decide();
     let stops = world.take_stops().len();
-    world.pass(ms(500));
+    world.advance(ms(500));
     assert_eq!((stops, world.take_starts().len()), (1, 0));
     assert_eq!(world.ledger.job_state(JOB), Some(JobState::Canceled));
 }
--- a/tests/batch_placement.rs
+++ b/tests/batch_placement.rs
@@ -3,15 +3,15 @@
 
 mod batch_world;
 
-use batch_world::{JOB, World, lasting, ms, saving, step};
+use batch_world::{JOB, World, checkpointed, lasting, ms, step};
 use yuccahold::batch::dispatch::ListedEnd;
 use yuccahold::batch::model::{EndKind, MinionNumber, Queue, StepSpec};
 
-fn plans() -> Queue {
+fn low_priority_queue() -> Queue {
     Queue {
         slo: ms(1200),
         stretch: 2.2,
-        ..batch_world::plans()
+        ..batch_world::low_priority_queue()
     }
 }
 
@@ -23,10 +23,10 @@
     let minion = world.join("i-1", 1);
     let unsaved = StepSpec {
         saves_progress: false,
-        ..saving(1, 16_000)
+        ..checkpointed(1, 16_000)
     };
-    world.submit_to(1, plans(), vec![saving(1, 16_000)]);
-    world.submit_to(2, plans(), vec![unsaved]);
+    world.submit_to(1, low_priority_queue(), vec![checkpointed(1, 16_000)]);
+    world.submit_to(2, low_priority_queue(), vec![unsaved]);
     world.start_all();
     world.submit(3, vec![step(1, 8_000)]);
     let stops = world.take_stops();
@@ -63,7 +63,7 @@
 fn work_that_can_be_in_time_goes_before_work_that_is_late() {
     let mut world = World::new();
     world.submit(1, vec![step(1, 32_000)]);
-    world.pass(ms(2_000));
+    world.advance(ms(2_000));
     world.submit(2, vec![step(1, 32_000)]);
     world.join("i-1", 1);
     let started: Vec<_> = world
@@ -88,14 +88,14 @@
         let starts = world.start_all();
         assert_eq!(starts.len(), 2);
         world.take_holds();
-        world.pass(ms(500));
+        world.advance(ms(500));
         for (minion, factor) in [(fast, 0), (slow, 1)] {
             world.now += ms(500 * factor);
             let (_, start) = starts.iter().find(|(m, _)| *m == minion).expect("one each");
             numbers[factor as usize] += 1;
             world.end(minion, numbers[factor as usize], start, EndKind::Done);
         }
-        world.pass(ms(100));
+        world.advance(ms(100));
     }
     world.submit(999, vec![step(1, 1_000)]);
     let chosen: Vec<_> = world.take_starts().iter().map(|(m, _)| *m).collect();
@@ -121,12 +121,12 @@
         .enumerate()
     {
         let number = i as u64 + 1;
-        world.submit_to(number, plans(), vec![plan(*declared)]);
+        world.submit_to(number, low_priority_queue(), vec![plan(*declared)]);
         let (_, start) = world.start_all().pop().expect("there is room");
         world.take_holds();
-        world.pass(ms(6_000));
+        world.advance(ms(6_000));
         world.end(minion, number, &start, EndKind::Done);
-        world.pass(ms(100));
+        world.advance(ms(100));
     }
     (world, minion)
 }
@@ -137,11 +137,11 @@
 #[test]
 fn a_job_that_declares_far_too_little_does_not_count_as_late() {
     let (mut world, minion) = world_with_six_second_plans();
-    world.submit_to(101, plans(), vec![plan(12_000)]);
+    world.submit_to(101, low_priority_queue(), vec![plan(12_000)]);
     let (_, running) = world.start_all().pop().expect("there is room");
-    world.submit_to(102, plans(), vec![plan(600)]);
-    world.pass(ms(4_000));
-    world.submit_to(103, plans(), vec![plan(5_000)]);
+    world.submit_to(102, low_priority_queue(), vec![plan(600)]);
+    world.advance(ms(4_000));
+    world.submit_to(103, low_priority_queue(), vec![plan(5_000)]);
     world.take_holds();
     world.end(minion, 25, &running, EndKind::Done);
     let next: Vec<_> = world
@@ -158,11 +158,11 @@
 #[test]
 fn a_job_that_declares_far_too_much_is_not_put_behind_all_others() {
     let (mut world, minion) = world_with_six_second_plans();
-    world.submit_to(101, plans(), vec![plan(6_000)]);
+    world.submit_to(101, low_priority_queue(), vec![plan(6_000)]);
     let (_, running) = world.start_all().pop().expect("there is room");
-    world.submit_to(102, plans(), vec![plan(43_000)]);
-    world.pass(ms(2_000));
-    world.submit_to(103, plans(), vec![plan(3_000)]);
+    world.submit_to(102, low_priority_queue(), vec![plan(43_000)]);
+    world.advance(ms(2_000));
+    world.submit_to(103, low_priority_queue(), vec![plan(3_000)]);
     world.take_holds();
     world.end(minion, 25, &running, EndKind::Done);
     let started: Vec<_> = world
@@ -184,16 +184,16 @@
         estimate: ms(600),
         ..step(2, 32_000)
     };
-    world.submit_to(1, plans(), vec![long]);
+    world.submit_to(1, low_priority_queue(), vec![long]);
     let (_, first) = world.start_all().pop().expect("there is room");
-    world.pass(ms(5_900));
+    world.advance(ms(5_900));
     let later = StepSpec {
         estimate: ms(30_000),
         ..step(1, 32_000)
     };
-    world.submit_to(2, plans(), vec![later]);
+    world.submit_to(2, low_priority_queue(), vec![later]);
     world.take_holds();
-    world.pass(ms(100));
+    world.advance(ms(100));
     world.end(minion, 1, &first, EndKind::Done);
     let started: Vec<_> = world
         .take_starts()
@@ -215,9 +215,9 @@
     for failure in 1..=5 {
         let started = world.start_all();
         assert_eq!(started.len(), 1, "after {failure} failures");
-        world.pass(ms(60_000));
+        world.advance(ms(60_000));
         world.end(minion, failure, &started[0].1, EndKind::Failed);
-        world.pass(ms(100));
+        world.advance(ms(100));
     }
 }
 
@@ -230,9 +230,9 @@
     world.submit(JOB, vec![lasting(1, 1_000)]);
     for failure in 1..=2 {
         let started = world.start_all();
-        world.pass(ms(500));
+        world.advance(ms(500));
         world.end(minion, failure, &started[0].1, EndKind::Failed);
-        world.pass(ms(100));
+        world.advance(ms(100));
     }
     assert_eq!(world.take_starts(), []);
 }
--- a/tests/batch_quota.rs
+++ b/tests/batch_quota.rs
@@ -2,7 +2,9 @@
 
 mod batch_world;
 
-use batch_world::{JOB, World, gang, lasting, listed, ms, plans, queue, saving, step};
+use batch_world::{
+    JOB, World, checkpointed, gang, lasting, listed, low_priority_queue, ms, queue, step,
+};
 use rstest::rstest;
 use yuccahold::batch::dispatch::{Answer, ListedEnd, Silence, StartOrder};
 use yuccahold::batch::model::{EndKind, MinionNumber, StepSpec};
@@ -11,7 +13,7 @@
 fn world() -> World {
     let mut world = World::new();
     world.join_all("i", 1..9);
-    world.limit(1, &[("a", 10), ("b", 100)]);
+    world.set_limits(1, &[("a", 10), ("b", 100)]);
     world
 }
 
@@ -108,8 +110,8 @@
     let spec = vec![step(6, 1000)];
     world.accept_for("a", JOB + 1, queue(), spec);
     let batch = world.propose_only().expect("starts");
-    world.limit(2, &[("a", 5)]);
-    world.agree(batch);
+    world.set_limits(2, &[("a", 5)]);
+    world.commit(batch);
     assert!(world.take_starts().len() <= 1);
 }
 
@@ -119,7 +121,7 @@
     let mut world = world();
     world.submit_for("a", JOB, queue(), vec![step(4, 1000)]);
     let (minion, start) = world.take_starts().pop().expect("a start");
-    world.limit(2, &[("a", 2)]);
+    world.set_limits(2, &[("a", 2)]);
     world.answer_start(minion, start.task, start.run, Answer::Silent(Silence::Lost));
     assert_eq!(world.take_starts().len(), 0);
     assert_eq!(world.take_stops().len(), 1);
@@ -131,8 +133,8 @@
     let mut world = world();
     world.submit_for("a", JOB, queue(), vec![step(15, 1000)]);
     assert_eq!(world.start_all().len(), 10);
-    world.limit(2, &[("a", 12)]);
-    world.pass(ms(20));
+    world.set_limits(2, &[("a", 12)]);
+    world.advance(ms(20));
     assert_eq!(world.take_starts().len(), 2);
 }
 
@@ -142,7 +144,7 @@
     let mut world = world();
     world.submit_for("a", JOB, queue(), vec![step(20, 1000)]);
     let starts = world.start_all();
-    world.limit(2, &[("b", 100)]);
+    world.set_limits(2, &[("b", 100)]);
     end_first(&mut world, &starts, 10);
     assert_eq!(world.take_starts().len(), 10);
     world.new_leader(2);
@@ -167,7 +169,12 @@
     let running = world.start_all();
     world.submit_for("a", JOB + 1, queue(), vec![gang(8, 1000)]);
     for i in 0..10 {
-        world.submit_for("a", JOB + 2 + i, plans(), vec![saving(1, 1000)]);
+        world.submit_for(
+            "a",
+            JOB + 2 + i,
+            low_priority_queue(),
+            vec![checkpointed(1, 1000)],
+        );
     }
     for count in [3, 8] {
         assert_eq!(world.take_starts().len(), 0);
@@ -190,7 +197,12 @@
 fn work_that_cannot_run_reserves_nothing(#[case] steps: Vec<StepSpec>) {
     let mut world = world();
     world.submit_for("a", JOB, queue(), steps);
-    world.submit_for("a", JOB + 1, plans(), vec![saving(4, 1000)]);
+    world.submit_for(
+        "a",
+        JOB + 1,
+        low_priority_queue(),
+        vec![checkpointed(4, 1000)],
+    );
     assert_eq!(world.take_starts().len(), 4);
 }
 
@@ -202,7 +214,12 @@
     world.submit_for("a", JOB, queue(), vec![lasting(5, 1000)]);
     world.start_all();
     world.submit_for("a", JOB + 1, queue(), vec![gang(6, 1000)]);
-    world.submit_for("a", JOB + 2, plans(), vec![saving(5, 1000)]);
+    world.submit_for(
+        "a",
+        JOB + 2,
+        low_priority_queue(),
+        vec![checkpointed(5, 1000)],
+    );
     assert_eq!(world.take_starts().len(), 5);
 }
 
@@ -211,32 +228,42 @@
 fn work_at_its_limit_reserves_nothing_on_minions() {
     let mut world = World::new();
     world.join("i-1", 1);
-    world.limit(1, &[("a", 10), ("b", 100)]);
+    world.set_limits(1, &[("a", 10), ("b", 100)]);
     world.submit_for("a", JOB, queue(), vec![step(1, 10_000)]);
     assert_eq!(world.start_all().len(), 1);
     world.submit_for("a", JOB + 1, queue(), vec![step(1, 10_000)]);
-    world.submit_for("b", JOB + 2, plans(), vec![saving(22, 1000)]);
+    world.submit_for(
+        "b",
+        JOB + 2,
+        low_priority_queue(),
+        vec![checkpointed(22, 1000)],
+    );
     assert_eq!(world.take_starts().len(), 22);
 }
 
 /// Guards against urgent work that waits while the limit is used up by long work of its own
 /// workspace that could be preempted without loss.
 #[rstest]
-#[case::saves_progress(saving(10, 1000), 2)]
+#[case::saves_progress(checkpointed(10, 1000), 2)]
 #[case::would_lose_its_work(step(10, 1000), 0)]
 fn urgent_work_preempts_work_of_its_own_workspace_at_the_limit(
     #[case] long: StepSpec,
     #[case] stopped: usize,
 ) {
     let mut world = world();
-    world.submit_for("a", JOB, plans(), vec![long]);
-    world.submit_for("b", JOB + 1, plans(), vec![saving(10, 1000)]);
+    world.submit_for("a", JOB, low_priority_queue(), vec![long]);
+    world.submit_for(
+        "b",
+        JOB + 1,
+        low_priority_queue(),
+        vec![checkpointed(10, 1000)],
+    );
     let runs = world.start_all();
-    world.pass(ms(100));
+    world.advance(ms(100));
     world.submit_for("a", JOB + 2, queue(), vec![step(2, 1000)]);
-    world.pass(ms(100));
+    world.advance(ms(100));
     let mut stops = world.take_stops();
-    world.pass(ms(100));
+    world.advance(ms(100));
     stops.extend(world.take_stops());
     assert!(stops.iter().all(|(_, task, _)| task.step.job == JOB));
     assert_eq!(stops.len(), stopped.min(1), "one task at a time");
--- a/tests/batch_quota_faults.rs
+++ b/tests/batch_quota_faults.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use batch_world::hosts::{Cell, Restart};
-use batch_world::{gang, lasting, ms, plans, queue, saving, step};
+use batch_world::{checkpointed, gang, lasting, low_priority_queue, ms, queue, step};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use yuccahold::batch::ledger::Command;
@@ -23,7 +23,7 @@
     match rng.random_range(0..8) {
         0 => (false, gang(count, need)),
         1 => (false, lasting(count.min(2), need)),
-        2..=4 => (false, saving(count, need)),
+        2..=4 => (false, checkpointed(count, need)),
         _ => (true, step(count, need)),
     }
 }
@@ -35,7 +35,7 @@
     let mut limits = [40, 20];
     let mut set_limits = |cell: &mut Cell, version, workspace: usize, cores| {
         limits[workspace] = cores;
-        cell.limit(version, &[("a", limits[0]), ("b", limits[1])]);
+        cell.set_limits(version, &[("a", limits[0]), ("b", limits[1])]);
     };
     set_limits(&mut cell, 1, 0, 40);
     let (mut version, mut term, mut job): (u64, u64, JobId) = (1, 1, 100);
@@ -48,7 +48,7 @@
             }
             1 => {
                 cell.restart = [Restart::NewName, Restart::SameName][rng.random_range(0..2)];
-                cell.away = ms(rng.random_range(100..8_000));
+                cell.restart_delay = ms(rng.random_range(100..8_000));
                 cell.crash(rng.random_range(0..6));
             }
             2 | 3 => {
@@ -56,9 +56,9 @@
                 let cores = rng.random_range(LIMITS);
                 set_limits(&mut cell, version, rng.random_range(0..2), cores);
             }
-            4 => cell.starts_late_by = ms(rng.random_range(300..3_000)),
-            5 | 6 => cell.starts_late_by = Duration::ZERO,
-            7 => cell.lists_late_by = ms(rng.random_range(0..400)),
+            4 => cell.start_delay = ms(rng.random_range(300..3_000)),
+            5 | 6 => cell.start_delay = Duration::ZERO,
+            7 => cell.listing_delay = ms(rng.random_range(0..400)),
             8 if job > 100 => {
                 let job = rng.random_range(100..job);
                 cell.world.apply(&Command::Cancel { job });
@@ -66,7 +66,11 @@
             9..22 => {
                 let owner = ["a", "b"][rng.random_range(0..2)];
                 let (urgent, spec) = draw_step(&mut rng);
-                let queue = if urgent { queue() } else { plans() };
+                let queue = if urgent {
+                    queue()
+                } else {
+                    low_priority_queue()
+                };
                 cell.submit_for(owner, job, queue, vec![spec]);
                 job += 1;
             }
@@ -74,7 +78,7 @@
         }
         cell.run(ms(rng.random_range(5..150)));
     }
-    assert_eq!(cell.broken, [""; 0], "seed {seed}");
+    assert_eq!(cell.violations, [""; 0], "seed {seed}");
     let peak = cell
         .limits
         .peaks
--- a/tests/batch_restarts.rs
+++ b/tests/batch_restarts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use batch_world::hosts::{Cell, Restart, StartAnswer};
-use batch_world::{JOB, first_step, lasting, ms, saving, step};
+use batch_world::{JOB, checkpointed, first_step, lasting, ms, step};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
@@ -16,7 +16,7 @@
 fn cell(ports: std::ops::Range<u16>) -> Cell {
     let mut cell = Cell::new(ports);
     cell.restart = Restart::SameName;
-    cell.away = ms(100);
+    cell.restart_delay = ms(100);
     cell
 }
 
@@ -40,7 +40,7 @@
 #[case::lists_come_late(ms(300))]
 fn ends_after_a_restart_are_taken(#[case] late: Duration) {
     let mut cell = cell(1..3);
-    cell.lists_late_by = late;
+    cell.listing_delay = late;
     run_jobs(&mut cell, JOB, 10);
     cell.crash(1);
     cell.crash(2);
@@ -51,7 +51,7 @@
     let starts = cell.starts.iter().filter(|(t, _)| t.step.job >= second);
     let starts: Vec<_> = starts.map(|(_, n)| *n).collect();
     assert_eq!(starts, [1; 16]);
-    assert_eq!(cell.broken, [""; 0]);
+    assert_eq!(cell.violations, [""; 0]);
 }
 
 /// Tasks that ran on the old incarnation are restarted at once, and not twice.
@@ -60,9 +60,9 @@
 #[case::the_lease_would_last(ms(2_000))]
 fn tasks_of_a_restarted_minion_run_again_soon(#[case] away: Duration) {
     let mut cell = cell(1..4);
-    cell.away = away;
+    cell.restart_delay = away;
     cell.submit(JOB, vec![lasting(6, 4_000)]);
-    cell.submit(JOB + 1, vec![saving(6, 4_000)]);
+    cell.submit(JOB + 1, vec![checkpointed(6, 4_000)]);
     cell.run(ms(2_000));
     cell.crash(1);
     let task = |i| first_step(JOB).task(i);
@@ -72,7 +72,7 @@
     assert!(back < away + ms(800), "{back:?}");
     cell.run(ms(12_000));
     assert_eq!(cell.state(JOB + 1), Some(JobState::Done));
-    assert_eq!(cell.broken, [""; 0]);
+    assert_eq!(cell.violations, [""; 0]);
 }
 
 /// A start order that the old incarnation left unanswered may be carried out by the new one.
@@ -83,16 +83,16 @@
 fn an_order_to_the_old_incarnation_runs_nothing_twice_on_the_new_one(#[case] late: Duration) {
     let mut cell = cell(1..4);
     cell.run(ms(1_000));
-    cell.starts_late_by = late;
-    cell.submit(JOB, vec![saving(6, 4_000)]);
+    cell.start_delay = late;
+    cell.submit(JOB, vec![checkpointed(6, 4_000)]);
     cell.run(ms(20));
-    cell.starts_late_by = Duration::ZERO;
+    cell.start_delay = Duration::ZERO;
     for port in 1..4 {
         cell.crash(port);
     }
     cell.run(ms(25_000));
     assert_eq!(cell.state(JOB), Some(JobState::Done));
-    assert_eq!(cell.broken, [""; 0]);
+    assert_eq!(cell.violations, [""; 0]);
 }
 
 /// Minions restart shortly before, during or after a change of leader.
@@ -106,7 +106,7 @@
 ) {
     let mut cell = cell(1..4);
     run_jobs(&mut cell, JOB, 10);
-    cell.submit(JOB + 20, vec![saving(8, 4_000)]);
+    cell.submit(JOB + 20, vec![checkpointed(8, 4_000)]);
     cell.run(ms(500));
     if !before.is_zero() {
         cell.crash(1);
@@ -122,7 +122,7 @@
     cell.run(ms(20_000));
     assert_eq!(states(&cell, JOB + 30, 6), [Some(JobState::Done); 6]);
     assert_eq!(cell.state(JOB + 20), Some(JobState::Done));
-    assert_eq!(cell.broken, [""; 0]);
+    assert_eq!(cell.violations, [""; 0]);
 }
 
 /// A delayed report of the old incarnation has no effect.
@@ -147,7 +147,7 @@
     assert_eq!(cell.starts.len(), 2);
     cell.run(ms(5_000));
     assert_eq!(cell.state(JOB), Some(JobState::Done));
-    assert_eq!(cell.broken, [""; 0]);
+    assert_eq!(cell.violations, [""; 0]);
 }
 
 /// Reports of a new incarnation are accepted although their sequence numbers restart.
@@ -161,7 +161,7 @@
     cell.submit(JOB, vec![step(4, 4_000)]);
     cell.run(ms(900));
     assert_eq!(cell.starts.len(), 2);
-    assert_eq!(cell.broken, [""; 0]);
+    assert_eq!(cell.violations, [""; 0]);
 }
 
 /// A restarted minion gets no work before its first report, because its capacity may have changed,
@@ -182,7 +182,7 @@
             ..report
         },
     );
-    cell.reports_late_by = ms(1_500);
+    cell.first_report_delay = ms(1_500);
     cell.crash(1);
     cell.run(ms(1_000));
     let before = cell.ports_of(first_step(JOB).task(0)).len();
@@ -201,7 +201,7 @@
     let task = first_step(JOB).task(0);
     let port = cell.ports_of(task)[0];
     let host = cell.report_of(port).expect("it is up");
-    cell.away = ms(60_000);
+    cell.restart_delay = ms(60_000);
     cell.crash(port);
     let again = MinionReport {
         started: host.started.map(|at| at + ms(5_000)),
@@ -225,16 +225,16 @@
     #[case] away: Duration,
 ) {
     let mut cell = cell(1..9);
-    cell.away = away;
+    cell.restart_delay = away;
     cell.start_answer = answer;
     let crasher = first_step(JOB).task(0);
     cell.crashers.insert(crasher);
     cell.submit(JOB, vec![step(3, 1_000)]);
     cell.run(ms(60_000));
     assert_eq!(cell.state(JOB), Some(JobState::Failed));
-    let too_many = cell.starts_too_many.get(&crasher);
+    let too_many = cell.excess_starts.get(&crasher);
     assert!(too_many <= Some(&2), "{too_many:?}");
-    assert_eq!(cell.broken, [""; 0]);
+    assert_eq!(cell.violations, [""; 0]);
 }
 
 /// With restarts and other faults at random times, no task runs twice and every job ends.
@@ -263,11 +263,11 @@
         let first = step(rng.random_range(1..6), rng.random_range(500..6_000));
         let second = StepSpec {
             after: vec![0],
-            ..saving(rng.random_range(1..4), rng.random_range(500..6_000))
+            ..checkpointed(rng.random_range(1..4), rng.random_range(500..6_000))
         };
         cell.submit(*job, vec![first, second]);
         cell.run(ms(rng.random_range(0..500)));
-        cell.starts_late_by = Duration::ZERO;
+        cell.start_delay = Duration::ZERO;
         match rng.random_range(0..10) {
             0..=2 => cell.crash(rng.random_range(1..9)),
             3 => (1..9).for_each(|port| cell.crash(port)),
@@ -275,15 +275,15 @@
                 term += 1;
                 cell.new_leader(term);
             }
-            5 => cell.lists_late_by = ms(rng.random_range(0..300)),
-            6 => cell.starts_late_by = ms(rng.random_range(50..2_000)),
-            7 => cell.away = ms(rng.random_range(50..4_000)),
+            5 => cell.listing_delay = ms(rng.random_range(0..300)),
+            6 => cell.start_delay = ms(rng.random_range(50..2_000)),
+            7 => cell.restart_delay = ms(rng.random_range(50..4_000)),
             _ => {}
         }
     }
-    cell.starts_late_by = Duration::ZERO;
+    cell.start_delay = Duration::ZERO;
     cell.run(ms(120_000));
-    assert_eq!(cell.broken, [""; 0], "seed {seed}");
+    assert_eq!(cell.violations, [""; 0], "seed {seed}");
     for job in &jobs {
         cell.assert_done_or_given_up(*job, seed);
     }
--- a/tests/batch_shares.rs
+++ b/tests/batch_shares.rs
@@ -25,7 +25,7 @@
 fn waits(times: u32) -> Vec<Duration> {
     let mut world = World::new();
     world.join_all("i", 1..3);
-    world.weigh(1, &[("calm", 4.0), ("eager", 4.0)]);
+    world.set_weights(1, &[("calm", 4.0), ("eager", 4.0)]);
     let mut cell = Cell::default();
     let mut handed_in: BTreeMap<JobId, Duration> = BTreeMap::new();
     let begun = world.now;
@@ -50,7 +50,7 @@
                 .wrapping_mul(0x9E37_79B9_7F4A_7C15);
             Some(ms(600 + (draw >> 33) % 800))
         });
-        world.pass(TICK);
+        world.advance(TICK);
     }
     let last = world.now - ms(3_000);
     let mut waits = Vec::new();
--- a/tests/batch_waits.rs
+++ b/tests/batch_waits.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 
 use batch_world::cell::Cell;
-use batch_world::{World, first_step, ms, one_each, plans, queue, saving, step};
+use batch_world::{
+    World, checkpointed, first_step, low_priority_queue, ms, one_per_minion, queue, step,
+};
 use rstest::rstest;
 use yuccahold::batch::dispatch::{Advice, AdviceQuestion, StartOrder};
 use yuccahold::batch::model::{AdviceTerms, JobId, MinionNumber, Queue, StepId, StepSpec, TaskId};
@@ -93,7 +95,7 @@
 }
 
 fn long_work() -> Queue {
-    advised(plans(), 500, 7)
+    advised(low_priority_queue(), 500, 7)
 }
 
 fn renders() -> Queue {
@@ -127,7 +129,7 @@
             Self::LongSaving => {
                 let long_saving = StepSpec {
                     estimate: ms(20_000),
-                    ..saving(12, 7_000)
+                    ..checkpointed(12, 7_000)
                 };
                 (long_work(), long_saving)
             }
@@ -144,7 +146,7 @@
     let (mut policy, mut cell) = (Policy::new(16), Cell::default());
     world.leader.set_agents(16);
     world.join_all("i", 0..40);
-    world.submit(1, vec![one_each(40, 14_000)]);
+    world.submit(1, vec![one_per_minion(40, 14_000)]);
     for job in 2..82 {
         let queue = if job % 2 == 0 { urgent() } else { renders() };
         world.submit_to(job, queue, vec![step(1, 20_000)]);
@@ -158,7 +160,7 @@
         cell.work(&mut world, |start| {
             (start.task.step.job > 1).then_some(ms(1_000))
         });
-        world.pass(TICK);
+        world.advance(TICK);
     }
     let waits: Vec<_> = LATE
         .map(|job| policy.first_asked.get(&first_step(job)))
@@ -191,7 +193,7 @@
         let id = format!("i-{i}");
         ids.insert(world.join(&id, i), id);
     }
-    world.submit_to(LASTING, lasting_queue(), vec![one_each(8, cores)]);
+    world.submit_to(LASTING, lasting_queue(), vec![one_per_minion(8, cores)]);
     let takes = |start: &StartOrder| {
         let draw = start.task.step.job.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33;
         let time = match load {
@@ -227,7 +229,7 @@
                 world.leader.minion_left(now, &ids[host].as_str().into());
             }
         }
-        world.pass(TICK);
+        world.advance(TICK);
     }
     let left = left.expect("they left");
     let back = cell
--- a/tests/batch_world/hosts.rs
+++ b/tests/batch_world/hosts.rs
@@ -23,7 +23,7 @@
 const CRASH_DELAY: Duration = ms(10);
 /// Timeout of a call without an answer.
 const CALL_TIMEOUT: Duration = ms(200);
-/// Time after a leader change during which `starts_too_many` does not count starts.
+/// Time after a leader change during which `excess_starts` does not count starts.
 const LEADER_SETTLE_TIME: Duration = ms(3_000);
 /// Network delay of an answer.
 const NET_DELAY: Duration = ms(2);
@@ -79,24 +79,24 @@
     pub start_answer: StartAnswer,
     pub restart: Restart,
     /// Time from a crash to the next incarnation.
-    pub away: Duration,
+    pub restart_delay: Duration,
     /// Additional network delay of answers to holds.
-    pub lists_late_by: Duration,
+    pub listing_delay: Duration,
     /// If not zero, starts are executed after this time and their answers are lost.
-    pub starts_late_by: Duration,
+    pub start_delay: Duration,
     /// Time from the start of an incarnation to its first report.
-    pub reports_late_by: Duration,
+    pub first_report_delay: Duration,
     /// Number of executed starts of each task.
     pub starts: BTreeMap<TaskId, u32>,
     /// Those after three crashes under the task, except shortly after a leader change.
-    pub starts_too_many: BTreeMap<TaskId, u32>,
+    pub excess_starts: BTreeMap<TaskId, u32>,
     leader_since: Duration,
     /// Number of crashes of minions that were running each task.
     pub crashes: BTreeMap<TaskId, u32>,
     /// Number of crashes of minions.
     pub crashed: u32,
     /// Violated invariants, described.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     done: BTreeSet<TaskId>,
     specs: BTreeMap<JobId, Vec<StepSpec>>,
     pub limits: Limits,
@@ -113,16 +113,16 @@
             crashers: BTreeSet::new(),
             start_answer: StartAnswer::Delivered,
             restart: Restart::NewName,
-            away: ms(3_000),
-            lists_late_by: Duration::ZERO,
-            starts_late_by: Duration::ZERO,
-            reports_late_by: Duration::ZERO,
+            restart_delay: ms(3_000),
+            listing_delay: Duration::ZERO,
+            start_delay: Duration::ZERO,
+            first_report_delay: Duration::ZERO,
             starts: BTreeMap::new(),
-            starts_too_many: BTreeMap::new(),
+            excess_starts: BTreeMap::new(),
             leader_since: Duration::ZERO,
             crashes: BTreeMap::new(),
             crashed: 0,
-            broken: Vec::new(),
+            violations: Vec::new(),
             done: BTreeSet::new(),
             specs: BTreeMap::new(),
             limits: Limits::default(),
@@ -183,9 +183,9 @@
     }
 
     /// Puts limits of workspaces in force, in cores.
-    pub fn limit(&mut self, version: u64, limits: &[(&'static str, u32)]) {
+    pub fn set_limits(&mut self, version: u64, limits: &[(&'static str, u32)]) {
         self.limits.set(self.world.now, limits);
-        self.world.limit(version, limits);
+        self.world.set_limits(version, limits);
     }
 
     /// Replaces the leader; answers in flight to the former one are lost.
@@ -251,7 +251,7 @@
         let Some(inc) = host.inc.take() else {
             return;
         };
-        host.restarts_at = now + self.away;
+        host.restarts_at = now + self.restart_delay;
         self.crashed += 1;
         for task in inc.tasks() {
             *self.crashes.entry(task).or_default() += 1;
@@ -306,7 +306,7 @@
         if self.hosts[&port].inc.as_ref().is_some_and(crashes) {
             self.crash(port);
         }
-        let (restart, reports_late_by) = (self.restart, self.reports_late_by);
+        let (restart, first_report_delay) = (self.restart, self.first_report_delay);
         let Some(host) = self.hosts.get_mut(&port) else {
             return;
         };
@@ -317,7 +317,7 @@
                 host.name = format!("i-{port}-{}", host.restarts);
             }
             host.sequence = 0;
-            host.reports_at = now + reports_late_by;
+            host.reports_at = now + first_report_delay;
         }
         if host.inc.is_some() && now >= host.reports_at {
             host.reports_at = now + HEARTBEAT;
@@ -373,10 +373,10 @@
     fn send(&mut self, now: Duration, target: Target, order: MinionOrder) {
         let is_start = matches!(order, MinionOrder::Start(_));
         let up = self.hosts[&target.addr.port()].inc.is_some();
-        if is_start && up && !self.starts_late_by.is_zero() {
+        if is_start && up && !self.start_delay.is_zero() {
             let lost = MinionAnswer::Order(Answer::Silent(Silence::Lost));
             self.answer(now + CALL_TIMEOUT, target.minion, order.kind(), now, lost);
-            let at = now + self.starts_late_by;
+            let at = now + self.start_delay;
             self.late_orders.push(LateOrder { at, target, order });
             return;
         }
@@ -448,22 +448,22 @@
         *self.starts.entry(task).or_default() += 1;
         let leader_settled = now >= self.leader_since + LEADER_SETTLE_TIME;
         if leader_settled && self.crashes.get(&task).is_some_and(|n| *n >= 3) {
-            *self.starts_too_many.entry(task).or_default() += 1;
+            *self.excess_starts.entry(task).or_default() += 1;
         }
         let incarnations = self.hosts.values().filter_map(|host| host.inc.as_ref());
-        self.broken
+        self.violations
             .extend(self.limits.exceeded(now, task, incarnations));
         let run = start.run;
         if !other_ports.is_empty() {
             let text = format!("{task} run {run} on {port} beside one on {other_ports:?}");
-            self.broken.push(text);
+            self.violations.push(text);
         }
         if self.done.contains(&task) {
-            self.broken
+            self.violations
                 .push(format!("{task} run {run} after it was done"));
         }
         if !used.fits_in(&capacity) {
-            self.broken
+            self.violations
                 .push(format!("{task} brings {port} to {used:?} of {capacity:?}"));
         }
         if crasher && self.start_answer == StartAnswer::Lost {
@@ -494,7 +494,7 @@
             return;
         };
         let answer = MinionAnswer::Hold(HoldAnswer::Listing(inc.listing(now)));
-        let at = now + NET_DELAY + self.lists_late_by;
+        let at = now + NET_DELAY + self.listing_delay;
         self.answer(at, hold.to, OrderKind::Hold, hold.sent, answer);
     }
 }
--- a/tests/batch_world/mod.rs
+++ b/tests/batch_world/mod.rs
@@ -58,7 +58,7 @@
 }
 
 /// A queue with a lower priority than `queue()`.
-pub fn plans() -> Queue {
+pub fn low_priority_queue() -> Queue {
     Queue {
         name: "plans".into(),
         prefix: "/plans/".into(),
@@ -81,7 +81,7 @@
 }
 
 /// A step of long tasks that write checkpoints.
-pub fn saving(count: u32, millicores: u32) -> StepSpec {
+pub fn checkpointed(count: u32, millicores: u32) -> StepSpec {
     StepSpec {
         saves_progress: true,
         estimate: ms(6_000),
@@ -105,7 +105,7 @@
 }
 
 /// A step of long-running tasks, at most one per minion.
-pub fn one_each(count: u32, millicores: u32) -> StepSpec {
+pub fn one_per_minion(count: u32, millicores: u32) -> StepSpec {
     StepSpec {
         max_per_minion: Some(1),
         ..lasting(count, millicores)
@@ -248,7 +248,7 @@
     }
 
     /// Sets limits of workspaces in cores, with infinite weights.
-    pub fn limit(&mut self, version: u64, limits: &[(&str, u32)]) {
+    pub fn set_limits(&mut self, version: u64, limits: &[(&str, u32)]) {
         let workspaces = limits.iter().map(|(name, cores)| {
             let limit = Resources::new(*cores, 0, 0);
             let weight = f64::INFINITY;
@@ -258,7 +258,7 @@
     }
 
     /// Sets weights of workspaces, without limits.
-    pub fn weigh(&mut self, version: u64, weights: &[(&str, f64)]) {
+    pub fn set_weights(&mut self, version: u64, weights: &[(&str, f64)]) {
         let workspaces = weights.iter().map(|(name, weight)| {
             let limit = Resources::ZERO;
             let weight = *weight;
@@ -332,13 +332,13 @@
     }
 
     /// Commits a proposed batch and lets the leader decide.
-    pub fn agree(&mut self, batch: Batch) {
+    pub fn commit(&mut self, batch: Batch) {
         self.orders.extend(self.leader.take_orders());
         self.apply(&Command::Batch(batch));
         self.decide();
     }
 
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         self.now += span;
         self.decide();
     }
