--- a/src/batch/dispatch/gangs.rs
+++ b/src/batch/dispatch/gangs.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Minions that can run members of a gang, by rack, the best score first. A minion with reservations
-    /// counts for one member only.
+    /// Minions that can run members of a gang, by rack, the best score first. A minion with
+    /// reservations counts for one member only.
     fn gang_places(&self, now: Timestamp, id: StepId, step: &ReadyStep, spec: &StepSpec) -> Places {
         let need = demand(spec);
         let mut places = Places::new();
--- a/src/batch/dispatch/reservations.rs
+++ b/src/batch/dispatch/reservations.rs
@@ -1,9 +1,9 @@
 //! Reservations: room reserved for tasks that cannot start yet, and preemption to free it.
 //!
-//! Large tasks and gangs need the room of several runs at once. Without a reservation, smaller tasks
-//! later in the order of service take each part as it comes free, and the large one waits for as
-//! long as there are small ones. All reservations are recomputed in each round, in the order of service,
-//! from the current state; none has to be released later, so none can leak.
+//! Large tasks and gangs need the room of several runs at once. Without a reservation, smaller
+//! tasks later in the order of service take each part as it comes free, and the large one waits for
+//! as long as there are small ones. All reservations are recomputed in each round, in the order of
+//! service, from the current state; none has to be released later, so none can leak.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,15 +18,16 @@
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
-/// Most tasks with a reservation in one round. Each reservation inspects the runs of all eligible minions, and
-/// a task behind this many others starts later than run time estimates are useful for.
+/// Most tasks with a reservation in one round. Each reservation inspects the runs of all eligible
+/// minions, and a task behind this many others starts later than run time estimates are useful for.
 const MAX_RESERVATIONS: usize = 64;
 
-/// Number of reservations from which on placement rounds are spaced out, as each reservation inspects all
-/// eligible minions.
+/// Number of reservations from which on placement rounds are spaced out, as each reservation
+/// inspects all eligible minions.
 const MANY_RESERVATIONS: usize = 16;
 
-/// Wait after which reservations of lasting tasks become strict: no other work may use the reserved room.
+/// Wait after which reservations of lasting tasks become strict: no other work may use the reserved
+/// room.
 const LASTING_STRICT_AFTER: Duration = Duration::from_secs(1);
 /// Wait after which lasting tasks preempt other runs instead of waiting for these to end.
 const LASTING_PREEMPT_AFTER: Duration = Duration::from_millis(2_500);
@@ -55,7 +56,8 @@
 }
 
 impl Reservations {
-    /// An empty set of reservations for the next round that keeps the record of strict reservations.
+    /// An empty set of reservations for the next round that keeps the record of strict
+    /// reservations.
     pub(super) fn next_round(&self, now: Timestamp) -> Self {
         let reservations = self.by_minion.iter();
         let each = reservations
@@ -201,7 +203,8 @@
 }
 
 impl Dispatcher {
-    /// Whether one more task may start on a minion without delaying the tasks with reservations there.
+    /// Whether one more task may start on a minion without delaying the tasks with reservations
+    /// there.
     pub(super) fn respects_reservations(
         &self,
         now: Timestamp,
@@ -248,8 +251,8 @@
     /// Reserves room for the waiting tasks of a step, and preempts less urgent runs if the job can
     /// meet its objective only that way.
     ///
-    /// Preempting without a reservation does not work: one urgent task with a ticket and no room had 225
-    /// runs stopped in 4 s, as each was placed again before enough room was free.
+    /// Preempting without a reservation does not work: one urgent task with a ticket and no room
+    /// had 225 runs stopped in 4 s, as each was placed again before enough room was free.
     pub(super) fn reserve_resources(
         &mut self,
         now: Timestamp,
