--- a/src/batch/dispatch/crashes.rs
+++ b/src/batch/dispatch/crashes.rs
@@ -22,8 +22,8 @@
 const RESTART_TIME: Duration = Duration::from_millis(300);
 /// Time for which a run on trial must be listed as running to pass its trial.
 const TRIAL_TIME: Duration = Duration::from_millis(200);
-/// Run time after which earlier crashes of a task are cleared.
-const CLEARED_AFTER: Duration = Duration::from_secs(5);
+/// Run time after which earlier crashes of a task are reset.
+const CRASHES_RESET_AFTER: Duration = Duration::from_secs(5);
 
 /// Whether a run may crash its minion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -127,7 +127,7 @@
     }
 
     /// Handles a listing that shows a run as running: it may pass its trial or have its crashes
-    /// cleared.
+    /// reset.
     pub(super) fn seen_at_work(&mut self, now: Timestamp, number: MinionNumber, task: TaskId) {
         let Some(run) = self.runs.get_mut(&task) else {
             return;
@@ -143,9 +143,9 @@
                     self.placement_requested = true;
                 }
             }
-            Suspicion::Passed if now >= since + CLEARED_AFTER => {
+            Suspicion::Passed if now >= since + CRASHES_RESET_AFTER => {
                 run.suspicion = Suspicion::None;
-                self.batch.cleared.push(task);
+                self.batch.crashes_reset.push(task);
             }
             _ => {}
         }
--- a/src/batch/dispatch/restarts.rs
+++ b/src/batch/dispatch/restarts.rs
@@ -149,7 +149,7 @@
         }
         let suspect = suspects.iter().find(|crash| crash.task == task);
         run.suspected = suspect.map(|crash| crash.certainty);
-        self.batch.moved.push((task, run.run, successor));
+        self.batch.reassigned.push((task, run.run, successor));
         self.add_run(task, run);
     }
 
--- a/src/batch/ledger/batch.rs
+++ b/src/batch/ledger/batch.rs
@@ -15,7 +15,7 @@
     /// Incarnations whose capacity changed, with the new capacity.
     pub resized: Vec<(MinionNumber, Resources)>,
     /// Runs whose minions restarted under the same name, with the numbers of the new incarnations.
-    pub moved: Vec<(TaskId, RunNumber, MinionNumber)>,
+    pub reassigned: Vec<(TaskId, RunNumber, MinionNumber)>,
     /// Incarnations that reported that they are draining.
     pub draining: Vec<MinionNumber>,
     /// Runs that ended.
@@ -24,7 +24,7 @@
     pub crashes: Vec<Crash>,
     /// Tasks whose crash counts are reset: they have run for so long that they cannot have caused
     /// the crashes counted against them.
-    pub cleared: Vec<TaskId>,
+    pub crashes_reset: Vec<TaskId>,
     /// Incarnations that are gone and have no active runs.
     pub gone: Vec<MinionNumber>,
     /// Occurrences of scheduled jobs that are due.
@@ -38,11 +38,11 @@
     pub fn is_empty(&self) -> bool {
         self.joined.is_empty()
             && self.resized.is_empty()
-            && self.moved.is_empty()
+            && self.reassigned.is_empty()
             && self.draining.is_empty()
             && self.ends.is_empty()
             && self.crashes.is_empty()
-            && self.cleared.is_empty()
+            && self.crashes_reset.is_empty()
             && self.gone.is_empty()
             && self.due.is_empty()
             && self.starts.is_empty()
--- a/src/batch/ledger/commands.rs
+++ b/src/batch/ledger/commands.rs
@@ -187,7 +187,7 @@
                 minion.report.capacity = *capacity;
             }
         }
-        for (task, run, number) in &batch.moved {
+        for (task, run, number) in &batch.reassigned {
             self.reassign_run(*task, *run, *number);
         }
         for number in &batch.draining {
@@ -201,7 +201,7 @@
         for crash in &batch.crashes {
             self.count_crash(crash);
         }
-        for task in &batch.cleared {
+        for task in &batch.crashes_reset {
             self.reset_crashes(*task);
         }
         for number in &batch.gone {
