--- a/src/batch/dispatch/crashes.rs
+++ b/src/batch/dispatch/crashes.rs
@@ -168,7 +168,7 @@
         (RunState::Transferred | RunState::TransferredInDoubt, _) => run.suspected,
         (RunState::Running(since), _) if minion.was_up_after(since + HARMLESS_AFTER) => None,
         (RunState::Running(since), Some(_)) if minion.was_down_by(since + HARMLESS_AFTER) => {
-            Some(Certainty::Begun)
+            Some(Certainty::Confirmed)
         }
         // The start was lost, or it reached the next incarnation.
         (RunState::Starting | RunState::InDoubt, Some(ordered))
--- a/src/batch/ledger/batch.rs
+++ b/src/batch/ledger/batch.rs
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Certainty {
     /// The minion confirmed the start and crashed soon after.
-    Begun,
+    Confirmed,
     /// The start was sent but not confirmed, and the minion crashed soon after.
     InDoubt,
     /// The start was sent, and the minion may have crashed long before or after.
@@ -88,7 +88,7 @@
     /// Value in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Begun => "begun",
+            Self::Confirmed => "begun",
             Self::InDoubt => "in-doubt",
             Self::Possible => "possible",
         }
--- a/src/batch/ledger/records.rs
+++ b/src/batch/ledger/records.rs
@@ -84,7 +84,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crashes {
     /// The minion confirmed the start and crashed soon after.
-    pub begun: u32,
+    pub confirmed: u32,
     /// The start was sent but not confirmed, and the minion crashed soon after.
     pub in_doubt: u32,
     /// The start was sent, and the minion may have crashed long before or after.
@@ -159,7 +159,7 @@
     /// Counts one crash.
     pub(super) fn count(&mut self, certainty: Certainty) {
         match certainty {
-            Certainty::Begun => self.begun += 1,
+            Certainty::Confirmed => self.confirmed += 1,
             Certainty::InDoubt => self.in_doubt += 1,
             Certainty::Possible => self.possible += 1,
         }
@@ -167,13 +167,13 @@
 
     /// Whether the task may have caused any crash.
     pub fn any(&self) -> bool {
-        self.begun + self.in_doubt + self.possible > 0
+        self.confirmed + self.in_doubt + self.possible > 0
     }
 
     /// Whether there are so many that the task must not start again.
     pub(super) fn exceed_limit(&self) -> bool {
-        let in_doubt = self.begun + self.in_doubt;
-        self.begun >= MAX_CRASHES
+        let in_doubt = self.confirmed + self.in_doubt;
+        self.confirmed >= MAX_CRASHES
             || in_doubt >= MAX_CRASHES_IN_DOUBT
             || in_doubt + self.possible >= MAX_CRASHES_POSSIBLE
     }
