--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -431,9 +431,9 @@
         let Some(timetable) = job.spec.timetable else {
             return;
         };
-        if job.begun < timetable.occurrences {
+        if job.due_so_far < timetable.occurrences {
             self.timetable
-                .insert((timetable.due(job.begun), id, job.begun));
+                .insert((timetable.due(job.due_so_far), id, job.due_so_far));
         }
     }
 
--- a/src/batch/ledger/commands.rs
+++ b/src/batch/ledger/commands.rs
@@ -140,7 +140,7 @@
         let open = self.jobs.values().filter(|job| job.may_run());
         let owners: BTreeSet<_> = open.filter_map(|job| job.owner.as_ref()).collect();
         before.retain(|name, _| owners.contains(name));
-        self.removed = before;
+        self.removed_workspaces = before;
     }
 
     fn submit(
@@ -344,7 +344,7 @@
             .is_some_and(|o| o.steps.iter().all(|s| s.open == 0));
         if all_done {
             job.occurrences.remove(&occurrence);
-            if job.occurrences.is_empty() && job.begun >= job.total_occurrences() {
+            if job.occurrences.is_empty() && job.due_so_far >= job.total_occurrences() {
                 self.finish_job(id, JobState::Done);
             }
         }
--- a/src/batch/ledger/format_2.rs
+++ b/src/batch/ledger/format_2.rs
@@ -20,7 +20,7 @@
 /// Version that prefixes data of this format.
 pub(super) const VERSION: u16 = 2;
 
-/// The ledger without `removed`.
+/// The ledger without `removed_workspaces`.
 #[derive(Deserialize)]
 pub(super) struct Ledger {
     clock: Timestamp,
@@ -86,7 +86,7 @@
     accepted: Timestamp,
     state: JobState,
     occurrences: BTreeMap<u32, Occurrence>,
-    begun: u32,
+    due_so_far: u32,
 }
 
 impl From<Ledger> for super::Ledger {
@@ -99,7 +99,7 @@
             minions: old.minions,
             next_minion: old.next_minion,
             ended: old.ended,
-            removed: BTreeMap::new(),
+            removed_workspaces: BTreeMap::new(),
         }
     }
 }
@@ -176,7 +176,7 @@
             accepted: old.accepted,
             state: old.state,
             occurrences: old.occurrences,
-            begun: old.begun,
+            due_so_far: old.due_so_far,
         }
     }
 }
--- a/src/batch/ledger/mod.rs
+++ b/src/batch/ledger/mod.rs
@@ -54,7 +54,7 @@
     pub(crate) ended: std::collections::VecDeque<(Timestamp, JobId)>,
     /// Workspaces that the configuration no longer declares but that still have open jobs, as last
     /// declared.
-    pub(crate) removed: BTreeMap<WorkspaceName, Workspace>,
+    pub(crate) removed_workspaces: BTreeMap<WorkspaceName, Workspace>,
 }
 
 impl Ledger {
--- a/src/batch/ledger/queries.rs
+++ b/src/batch/ledger/queries.rs
@@ -66,7 +66,7 @@
         let declared = self.config.as_ref();
         let declared = declared.and_then(|config| config.parsed.workspaces.as_ref());
         let declared = declared.and_then(|w| w.by_name.get(name));
-        declared.or_else(|| self.removed.get(name))
+        declared.or_else(|| self.removed_workspaces.get(name))
     }
 
     /// Workspaces whose limits apply: those of the configuration, and removed ones that still have
@@ -75,7 +75,7 @@
         let declared = self.config.as_ref();
         let declared = declared.and_then(|config| config.parsed.workspaces.as_ref());
         let declared = declared.into_iter().flat_map(|w| w.by_name.iter());
-        self.removed.iter().chain(declared)
+        self.removed_workspaces.iter().chain(declared)
     }
 
     /// Whether a configuration of this version would take effect.
--- a/src/batch/ledger/records.rs
+++ b/src/batch/ledger/records.rs
@@ -34,7 +34,7 @@
     /// Occurrences that are due and not done, by number.
     pub occurrences: BTreeMap<u32, Occurrence>,
     /// Number of occurrences that have become due so far.
-    pub begun: u32,
+    pub due_so_far: u32,
 }
 
 /// One repetition of a job's steps.
@@ -115,7 +115,7 @@
             accepted,
             state: JobState::Queued,
             occurrences: BTreeMap::new(),
-            begun: 0,
+            due_so_far: 0,
         };
         if job.spec.timetable.is_none() {
             job.begin(0);
@@ -125,10 +125,10 @@
 
     /// Creates the records of an occurrence that is due; ignored unless it is the next one.
     pub(super) fn begin(&mut self, occurrence: u32) {
-        if occurrence != self.begun {
+        if occurrence != self.due_so_far {
             return;
         }
-        self.begun += 1;
+        self.due_so_far += 1;
         let steps = self.spec.steps.iter().map(StepRecord::new).collect();
         self.occurrences.insert(occurrence, Occurrence { steps });
     }
