--- a/src/batch/agents.rs
+++ b/src/batch/agents.rs
@@ -10,11 +10,11 @@
 
 use tokio::sync::mpsc::UnboundedSender;
 
-use super::calls::{Down, OrderNumber};
+use super::calls::{OrderNumber, ServerMessage};
 use super::dispatch::{AdviceQuestion, MinionAnswer, MinionOrder, OrderKind, QuestionId, Target};
 use super::machine::OrderOutcome;
 use super::model::MinionNumber;
-use super::rank::rank;
+use super::rendezvous::rendezvous_weight;
 use crate::ids::{Timestamp, ZoneName};
 
 /// Number of an agent's connection to the leader.
@@ -36,7 +36,7 @@
 }
 
 struct Agent {
-    tx: UnboundedSender<Down>,
+    tx: UnboundedSender<ServerMessage>,
     zone: ZoneName,
     /// Whether it runs on the leader's host; such an agent gets questions but no orders.
     on_leader_host: bool,
@@ -64,7 +64,7 @@
     pub fn add(
         &self,
         id: AgentId,
-        tx: UnboundedSender<Down>,
+        tx: UnboundedSender<ServerMessage>,
         zone: ZoneName,
         on_leader_host: bool,
     ) {
@@ -140,7 +140,7 @@
         for (id, orders) in batches.0 {
             if let Some(agent) = pool.agents.get(&id) {
                 // If the connection has just closed, `remove` returns the orders as unanswered.
-                let _ = agent.tx.send(Down::Orders(orders));
+                let _ = agent.tx.send(ServerMessage::Orders(orders));
             }
         }
     }
@@ -199,7 +199,7 @@
         };
         agent.backlog += question.cost;
         agent.questions.push((question.id, question.cost));
-        agent.tx.send(Down::Advise(question)).is_ok()
+        agent.tx.send(ServerMessage::Advise(question)).is_ok()
     }
 
     /// Removes an answered question from the agent's backlog.
@@ -220,7 +220,7 @@
 }
 
 impl Pool {
-    /// Chooses the agent for a minion by rendezvous hashing: the highest rank among the agents in
+    /// Chooses the agent for a minion by rendezvous hashing: the highest weight among the agents in
     /// the minion's zone, or among all agents if that zone has none.
     ///
     /// Each agent that joins takes over its share of the minions and no more. A fixed assignment
@@ -231,8 +231,8 @@
         let eligible = |agent: &&Agent| !agent.on_leader_host && now >= agent.suspended_until;
         let all = self.agents.iter().filter(|(_, agent)| eligible(agent));
         let best = all.max_by_key(|(id, agent)| {
-            let rank = rank(target.minion, **id);
-            (agent.zone == target.zone, rank, **id)
+            let weight = rendezvous_weight(target.minion, **id);
+            (agent.zone == target.zone, weight, **id)
         });
         best.map(|(id, _)| *id)
     }
--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -7,25 +7,25 @@
 use compact_str::CompactString;
 
 use super::order::{Advice, AdviceQuestion, Order, QuestionId};
-use super::questions::{Asked, Share};
+use super::questions::{PendingQuestion, QuestionClass};
 use super::ready::remove_job;
-use super::run::charged;
+use super::run::demand;
 use super::{Dispatcher, ReadyStep};
+use crate::batch::event::Event;
 use crate::batch::model::{AdviceTerms, JobId, MinionNumber, StepId, StepSpec};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
 /// Fewest minions named in a question, if that many are candidates. A job's objective allows for
 /// one call about this many minions per step, so asking about fewer gains nothing.
-pub(super) const FEWEST_ASKED: usize = 30;
+pub(super) const MIN_MINIONS_PER_QUESTION: usize = 30;
 /// Upper bound of the tasks counted as fitting on one minion; a task that needs no resources
 /// would fit without limit.
 const MAX_TASKS_PER_MINION: u32 = 10_000;
 /// A ticket is not used in this last part of its validity, which leaves time to retry the start.
 const TICKET_RESERVE: Duration = Duration::from_millis(350);
 /// Pause after a question that was not answered or whose answer named nothing new.
-const ASK_RETRY_PAUSE: Duration = Duration::from_millis(300);
+const QUESTION_RETRY_PAUSE: Duration = Duration::from_millis(300);
 /// Pause after a search that found no minion to ask about.
 const NO_CANDIDATE_PAUSE: Duration = Duration::from_millis(150);
 /// Shortest and longest pause between two checks of a step whose predecessors still run. Each check
@@ -42,7 +42,7 @@
 
 /// Answers of the policy service about one step, and the state of its questions.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Knowledge {
+pub(super) struct StepAdvice {
     /// Minions that may run the step. The policy never revokes this.
     allowed: BTreeSet<MinionNumber>,
     /// Minions that may not run the step.
@@ -50,20 +50,20 @@
     /// Tickets, each with the end of its validity.
     tickets: BTreeMap<MinionNumber, (CompactString, Timestamp)>,
     /// The question that was sent and is not answered.
-    asked: Option<Asked>,
+    pending: Option<PendingQuestion>,
     /// When the latest question was sent.
     last_asked: Option<Timestamp>,
     /// No question is sent before this time.
     next_question: Timestamp,
 }
 
-impl Knowledge {
+impl StepAdvice {
     pub(super) fn ticket(&self, minion: MinionNumber) -> Option<CompactString> {
         self.tickets.get(&minion).map(|(ticket, _)| ticket.clone())
     }
 
     /// Minions with a ticket, including expired ones.
-    pub(super) fn ticketed(&self) -> impl Iterator<Item = MinionNumber> + '_ {
+    pub(super) fn minions_with_ticket(&self) -> impl Iterator<Item = MinionNumber> + '_ {
         self.tickets.keys().copied()
     }
 
@@ -96,12 +96,12 @@
 
     /// Whether a question was sent and is not answered.
     pub(super) fn is_asked(&self) -> bool {
-        self.asked.is_some()
+        self.pending.is_some()
     }
 
     /// Removes and returns the pending question if it has this id.
-    fn take_pending(&mut self, question: QuestionId) -> Option<Asked> {
-        self.asked.take_if(|asked| asked.id == question)
+    fn take_pending(&mut self, question: QuestionId) -> Option<PendingQuestion> {
+        self.pending.take_if(|asked| asked.id == question)
     }
 
     pub(super) fn forget_ticket(&mut self, minion: MinionNumber) {
@@ -118,20 +118,20 @@
         id: StepId,
         step: &ReadyStep,
         terms: AdviceTerms,
-        turn: Turn,
+        reason: QuestionReason,
     ) {
         self.expire_lost_questions(now);
-        let Some(share) = self.available_share(step, turn) else {
+        let Some(class) = self.available_class(step, reason) else {
             return;
         };
-        let entry = self.knowledge.entry(id).or_default();
+        let entry = self.step_advice.entry(id).or_default();
         if entry.is_asked() || now < entry.next_question {
             return;
         }
-        let candidates = self.whom_to_ask(now, id, step, terms);
+        let candidates = self.question_candidates(now, id, step, terms);
         if candidates.is_empty() {
-            if let Some(knowledge) = self.knowledge.get_mut(&id) {
-                knowledge.next_question = now + NO_CANDIDATE_PAUSE;
+            if let Some(step_advice) = self.step_advice.get_mut(&id) {
+                step_advice.next_question = now + NO_CANDIDATE_PAUSE;
             }
             return;
         }
@@ -142,11 +142,11 @@
         let cost = terms.base + terms.per_minion * minions.len() as u32;
         let asked = self
             .questions
-            .send(now, id, share, expected_use(step, id, &candidates));
+            .send(now, id, class, expected_use(step, id, &candidates));
         let question = asked.id;
-        if let Some(knowledge) = self.knowledge.get_mut(&id) {
-            knowledge.last_asked = Some(now);
-            knowledge.asked = Some(asked);
+        if let Some(step_advice) = self.step_advice.get_mut(&id) {
+            step_advice.last_asked = Some(now);
+            step_advice.pending = Some(asked);
         }
         self.out.push(Order::Advise(AdviceQuestion {
             id: question,
@@ -155,22 +155,22 @@
         }));
     }
 
-    /// The share that a question about a step may count against; `None` while all of its shares are
+    /// The class that a question about a step may count against; `None` while all of its limits are
     /// used up.
-    fn available_share(&self, step: &ReadyStep, turn: Turn) -> Option<Share> {
-        let ordinary = match (step.queue.priority, turn) {
-            (0, Turn::Coming) => self.agents,
+    fn available_class(&self, step: &ReadyStep, reason: QuestionReason) -> Option<QuestionClass> {
+        let ordinary = match (step.queue.priority, reason) {
+            (0, QuestionReason::Upcoming) => self.agents,
             (0, _) => self.agents * 2,
-            (_, Turn::Coming) => self.agents / 3,
+            (_, QuestionReason::Upcoming) => self.agents / 3,
             (_, _) => self.agents * 2 / 3,
         };
-        let own = match turn {
-            Turn::PassedOver => Some(Share::PassedOver),
-            Turn::Now if step.is_lasting() => Some(Share::Lasting),
+        let own = match reason {
+            QuestionReason::PassedOver => Some(QuestionClass::PassedOver),
+            QuestionReason::Now if step.is_lasting() => Some(QuestionClass::Lasting),
             _ => None,
         };
-        let mut shares = std::iter::once(Share::Ordinary).chain(own);
-        shares.find(|share| self.questions.may_send(*share, self.agents, ordinary))
+        let mut classes = std::iter::once(QuestionClass::Ordinary).chain(own);
+        classes.find(|class| self.questions.may_send(*class, self.agents, ordinary))
     }
 
     /// Asks about steps that had no question for long although there is room for them, longest
@@ -196,7 +196,10 @@
             let Some(step) = self.ready.get(&id) else {
                 continue;
             };
-            if self.available_share(step, Turn::PassedOver).is_none() {
+            if self
+                .available_class(step, QuestionReason::PassedOver)
+                .is_none()
+            {
                 return;
             }
             let spec = &step.spec.steps[usize::from(id.step)];
@@ -206,7 +209,7 @@
             if let Some(terms) = step.queue.advice
                 && let Some(step) = self.ready.remove(&id)
             {
-                self.ask(now, id, &step, terms, Turn::PassedOver);
+                self.ask(now, id, &step, terms, QuestionReason::PassedOver);
                 self.ready.insert(id, step);
             }
         }
@@ -216,8 +219,8 @@
     /// the step has no policy.
     fn unasked_since(&self, id: StepId, step: &ReadyStep) -> Option<Timestamp> {
         step.queue.advice?;
-        let known = self.knowledge.get(&id);
-        if known.is_some_and(Knowledge::is_asked) {
+        let known = self.step_advice.get(&id);
+        if known.is_some_and(StepAdvice::is_asked) {
             return None;
         }
         known.and_then(|k| k.last_asked).max(Some(step.since))
@@ -230,9 +233,9 @@
     /// more.
     fn expire_lost_questions(&mut self, now: Timestamp) {
         while let Some(question) = self.questions.take_older(now, QUESTION_TIMEOUT) {
-            let knowledge = self.knowledge.get_mut(&question.step);
-            if let Some(lost) = knowledge.and_then(|k| k.take_pending(question)) {
-                self.questions.over(&lost);
+            let step_advice = self.step_advice.get_mut(&question.step);
+            if let Some(lost) = step_advice.and_then(|k| k.take_pending(question)) {
+                self.questions.remove(&lost);
             }
         }
     }
@@ -252,11 +255,11 @@
         if step.queue.advice.is_none() {
             return false;
         }
-        let need = charged(spec);
-        let knowledge = self.knowledge.get(&id);
+        let need = demand(spec);
+        let step_advice = self.step_advice.get(&id);
         self.minions.values().any(|minion| {
             let open = || {
-                knowledge
+                step_advice
                     .is_none_or(|k| !k.forbids(minion.number) && !k.has_ticket(minion.number, now))
             };
             need.fits_in(&minion.free()) && open() && self.is_eligible(now, minion, id, step, spec)
@@ -268,25 +271,25 @@
     /// Without this, a check of two steps waited 50 ms between its steps, and long work 0.7 s and
     /// more, since tickets were only requested once the step was ready.
     pub(super) fn ask_ahead(&mut self, now: Timestamp) {
-        let mut coming = std::mem::take(&mut self.coming);
-        for (id, step) in &mut coming {
+        let mut upcoming = std::mem::take(&mut self.upcoming);
+        for (id, step) in &mut upcoming {
             let Some(terms) = step.queue.advice else {
                 continue;
             };
-            if now < step.look_at {
+            if now < step.check_at {
                 continue;
             }
-            let takes = terms.base + terms.per_minion * FEWEST_ASKED as u32;
-            let known = self.knowledge.get(id);
+            let takes = terms.base + terms.per_minion * MIN_MINIONS_PER_QUESTION as u32;
+            let known = self.step_advice.get(id);
             let has_ticket =
-                |k: &Knowledge| k.tickets.keys().any(|m| k.has_ticket(*m, now + takes));
+                |k: &StepAdvice| k.tickets.keys().any(|m| k.has_ticket(*m, now + takes));
             let expected_start = self.expected_start(now, *id, step);
-            step.look_at = now + look_ahead_pause(now, expected_start, takes);
+            step.check_at = now + look_ahead_pause(now, expected_start, takes);
             if expected_start.is_some_and(|at| at < now + takes) && !known.is_some_and(has_ticket) {
-                self.ask(now, *id, step, terms, Turn::Coming);
+                self.ask(now, *id, step, terms, QuestionReason::Upcoming);
             }
         }
-        self.coming = coming;
+        self.upcoming = upcoming;
     }
 
     /// When the last task that a step depends on should end; `None` if no such end is known.
@@ -300,9 +303,9 @@
     /// Removes the advice of a job's steps and stops counting their pending questions; late answers
     /// to these are ignored.
     pub(super) fn remove_step_advice(&mut self, job: JobId) {
-        for knowledge in remove_job(&mut self.knowledge, job).into_values() {
-            if let Some(asked) = knowledge.asked {
-                self.questions.over(&asked);
+        for step_advice in remove_job(&mut self.step_advice, job).into_values() {
+            if let Some(asked) = step_advice.pending {
+                self.questions.remove(&asked);
             }
         }
     }
@@ -318,21 +321,26 @@
     /// A late answer to an expired question is ignored. Matched to the next question, it would mark
     /// minions that only the next one names as permanently forbidden: with agents cut off for 4 s,
     /// a gang of 45 in a half-empty cell was never asked about again.
-    pub fn advised(&mut self, now: Timestamp, question: QuestionId, advice: Option<Advice>) {
+    pub fn advice_received(
+        &mut self,
+        now: Timestamp,
+        question: QuestionId,
+        advice: Option<Advice>,
+    ) {
         let id = question.step;
-        let step = self.ready.get(&id).or_else(|| self.coming.get(&id));
+        let step = self.ready.get(&id).or_else(|| self.upcoming.get(&id));
         let validity = step
             .and_then(|step| step.queue.advice)
             .map_or(Duration::ZERO, |terms| terms.validity);
         let waiting = step.map_or(0, |step| step.waiting.len());
-        let Some(knowledge) = self.knowledge.get_mut(&id) else {
+        let Some(step_advice) = self.step_advice.get_mut(&id) else {
             return;
         };
-        let Some(asked) = knowledge.take_pending(question) else {
+        let Some(asked) = step_advice.take_pending(question) else {
             return;
         };
-        self.questions.over(&asked);
-        self.out.push(Order::Note(Box::new(Note::StepAdvised {
+        self.questions.remove(&asked);
+        self.out.push(Order::Event(Box::new(Event::StepAdvised {
             step: id,
             waiting,
             asked: asked.minions.len(),
@@ -340,26 +348,28 @@
             took: now.saturating_sub(asked.at),
         })));
         let Some(advice) = advice else {
-            knowledge.next_question = now + ASK_RETRY_PAUSE;
+            step_advice.next_question = now + QUESTION_RETRY_PAUSE;
             return;
         };
         let mut good = BTreeSet::new();
         for (minion, ticket) in advice.good {
             if let Some(number) = self.by_id.get(&minion) {
                 good.insert(*number);
-                knowledge.allowed.insert(*number);
-                knowledge.tickets.insert(*number, (ticket, now + validity));
+                step_advice.allowed.insert(*number);
+                step_advice
+                    .tickets
+                    .insert(*number, (ticket, now + validity));
             }
         }
-        let before = knowledge.forbidden.len();
+        let before = step_advice.forbidden.len();
         let named = asked.minions.iter().map(|(minion, _)| *minion);
-        knowledge
+        step_advice
             .forbidden
             .extend(named.filter(|n| !good.contains(n)));
-        if good.is_empty() && knowledge.forbidden.len() == before {
-            knowledge.next_question = now + ASK_RETRY_PAUSE;
+        if good.is_empty() && step_advice.forbidden.len() == before {
+            step_advice.next_question = now + QUESTION_RETRY_PAUSE;
         }
-        self.place_wanted = true;
+        self.placement_requested = true;
     }
 }
 
@@ -370,7 +380,7 @@
     id: StepId,
     named: &[(MinionNumber, u32)],
 ) -> Vec<(MinionNumber, Resources)> {
-    let need = charged(&step.spec.steps[usize::from(id.step)]);
+    let need = demand(&step.spec.steps[usize::from(id.step)]);
     let places: u32 = named.iter().map(|(_, places)| places).sum();
     let each = f64::from(step.waiting.len() as u32) / f64::from(places.max(1));
     let room = |places: u32| need.part(each.min(1.0) * f64::from(places));
@@ -393,16 +403,16 @@
 
 /// Why a question about a step is sent; selects the limit that it counts against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Turn {
+pub(super) enum QuestionReason {
     /// The step's tasks may start now.
     Now,
     /// The steps that it depends on still run.
-    Coming,
+    Upcoming,
     /// The step's tasks may start now, and it had no question for long.
     PassedOver,
 }
 
 /// How many tasks with this need fit into `room`, at most `MAX_TASKS_PER_MINION`.
-pub(super) fn fits_times(room: &Resources, need: &Resources) -> u32 {
+pub(super) fn max_tasks_in(room: &Resources, need: &Resources) -> u32 {
     need.times_in(room).min(MAX_TASKS_PER_MINION)
 }
--- a/src/batch/dispatch/answers.rs
+++ b/src/batch/dispatch/answers.rs
@@ -5,12 +5,12 @@
 
 use super::Dispatcher;
 use super::crashes::GoneEvidence;
-use super::minion::UnsettledStart;
+use super::minion::UnansweredStart;
 use super::order::{Answer, MinionAnswer, MinionOrder, Order, OrderKind, StartOrder, StartRefusal};
 use super::run::{RunState, StopState};
+use crate::batch::event::Event;
 use crate::batch::ledger::Ledger;
 use crate::batch::model::{EndKind, MinionNumber, RunNumber, TaskId};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 
 /// Time from sending a start to its deadline. Short, so that a late start is refused soon and its
@@ -42,8 +42,8 @@
         run.ordered.get_or_insert(now);
         run.deadline = run.deadline.max(deadline);
         minion.lease = minion.lease.max(deadline);
-        let knowledge = self.knowledge.get(&id.step);
-        let ticket = knowledge.and_then(|k| k.ticket(run.minion));
+        let step_advice = self.step_advice.get(&id.step);
+        let ticket = step_advice.and_then(|k| k.ticket(run.minion));
         let order = StartOrder {
             task: id,
             run: run.run,
@@ -59,7 +59,7 @@
     }
 
     /// Handles the answer to an order that was sent at `sent`, by this replica's clock.
-    pub fn answered(
+    pub fn order_answered(
         &mut self,
         now: Timestamp,
         number: MinionNumber,
@@ -112,17 +112,17 @@
             }
             Answer::Refused { why, .. } => {
                 self.start_refused(now, number, id, why);
-                self.note_failed_start(number, id, run_number, why.as_str(), tries);
+                self.report_failed_start(number, id, run_number, why.as_str(), tries);
             }
             Answer::Silent(_) => {
                 run.state = RunState::InDoubt;
                 if let Some(minion) = self.minions.get_mut(&number) {
-                    let start = UnsettledStart {
+                    let start = UnansweredStart {
                         task: id,
                         run: run_number,
                         sent,
                     };
-                    minion.record_unsettled(start, now);
+                    minion.record_unanswered_start(start, now);
                 }
                 if tries < MAX_START_TRIES
                     && run.stop == StopState::No
@@ -132,7 +132,7 @@
                 } else {
                     self.stop_run(now, id);
                 }
-                self.note_failed_start(number, id, run_number, "no answer", tries);
+                self.report_failed_start(number, id, run_number, "no answer", tries);
             }
             Answer::OtherIncarnation => {}
         }
@@ -158,8 +158,8 @@
         }
         match why {
             StartRefusal::Ticket => {
-                if let Some(knowledge) = self.knowledge.get_mut(&id.step) {
-                    knowledge.forget_ticket(number);
+                if let Some(step_advice) = self.step_advice.get_mut(&id.step) {
+                    step_advice.forget_ticket(number);
                 }
             }
             StartRefusal::Unhealthy => {
@@ -171,7 +171,7 @@
         }
     }
 
-    fn note_failed_start(
+    fn report_failed_start(
         &mut self,
         number: MinionNumber,
         task: TaskId,
@@ -180,7 +180,7 @@
         tries: u32,
     ) {
         let minion = self.minions.get(&number).map(|m| m.report.id.clone());
-        self.note(Note::StartFailed {
+        self.emit(Event::StartFailed {
             task,
             run,
             minion: minion.unwrap_or_default(),
@@ -199,7 +199,7 @@
         let Some(minion) = self.minions.get_mut(&number) else {
             return;
         };
-        self.touched.insert(number);
+        self.changed_minions.insert(number);
         if let Answer::Silent(silence) = answer {
             minion.record_failed_call(sent, *silence, now);
         }
@@ -243,7 +243,7 @@
     pub(super) fn send_stops(&mut self, now: Timestamp) {
         let token = self.term;
         let mut without_minion = Vec::new();
-        for id in &self.leaving {
+        for id in &self.stopping {
             let Some(run) = self.runs.get_mut(id) else {
                 continue;
             };
@@ -282,7 +282,7 @@
         {
             run.stop = StopState::Due(now);
             let minion = run.minion;
-            self.leaving.insert(id);
+            self.stopping.insert(id);
             self.forget_releases(minion);
         }
     }
--- a/src/batch/dispatch/applied.rs
+++ b/src/batch/dispatch/applied.rs
@@ -5,9 +5,9 @@
 use super::ready::remove_job;
 use super::run::{Run, RunState};
 use super::{Dispatcher, JobId, StepId, TaskId};
+use crate::batch::event::Event;
 use crate::batch::ledger::{Batch, Command, Ledger, Start};
 use crate::batch::model::{EndKind, Grouping, JobState};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 
 impl Dispatcher {
@@ -20,8 +20,8 @@
             } => {
                 if fresh {
                     self.set_services(parsed);
-                    self.renew_limits(ledger);
-                    self.note(Note::ConfigInForce {
+                    self.refresh_limits(ledger);
+                    self.emit(Event::ConfigInForce {
                         version: *version,
                         queues: parsed.queues.len(),
                     });
@@ -31,7 +31,7 @@
                 job, queue, owner, ..
             } => {
                 if fresh {
-                    self.note(Note::JobAccepted {
+                    self.emit(Event::JobAccepted {
                         job: *job,
                         queue: queue.name.clone(),
                         workspace: owner.clone(),
@@ -40,7 +40,7 @@
                     if let Some(job) = ledger.jobs.get(job) {
                         self.profiles.declared(job);
                     }
-                    self.take_hand_in(ledger, *job);
+                    self.count_submission(ledger, *job);
                     self.dirty_jobs.insert(*job);
                     self.schedule_next(ledger, *job);
                 }
@@ -69,7 +69,7 @@
             self.dirty_jobs.insert(*job);
             self.schedule_next(ledger, *job);
         }
-        let ended: BTreeSet<_> = ledger.ended_now().collect();
+        let ended: BTreeSet<_> = ledger.jobs_ended_at_last_command().collect();
         for job in ended {
             self.job_ended(now, ledger, job);
         }
@@ -147,13 +147,13 @@
             JobState::Failed => "failed",
             _ => "canceled",
         };
-        self.note(Note::JobEnded {
+        self.emit(Event::JobEnded {
             job: id,
             state,
             age: ledger.clock.saturating_sub(job.accepted),
         });
         self.remove_step_advice(id);
-        self.shares.forget(id);
+        self.excess.remove(id);
         remove_job(&mut self.observed, id);
         let steps = StepId::all_of(id);
         let all = *steps.start().tasks().start()..=*steps.end().tasks().end();
--- a/src/batch/dispatch/census.rs
+++ b/src/batch/dispatch/cell_report.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{Dispatcher, ReadyStep, charged};
+use super::{Dispatcher, ReadyStep, demand};
+use crate::batch::event::Event;
 use crate::batch::model::StepId;
-use crate::batch::note::Note;
 use crate::ids::{Timestamp, WorkspaceName};
 use crate::resources::Resources;
 
@@ -30,14 +30,14 @@
 impl Dispatcher {
     /// Reports how full the cell is, each limited workspace's use, and steps that wait long, once a
     /// second. `unix` is the time of day.
-    pub(super) fn take_census(&mut self, now: Timestamp, unix: Timestamp) {
-        if now < self.census_at {
+    pub(super) fn report_cell_state(&mut self, now: Timestamp, unix: Timestamp) {
+        if now < self.next_cell_report {
             return;
         }
-        self.census_at = now + REPORT_INTERVAL;
+        self.next_cell_report = now + REPORT_INTERVAL;
         let taking = || self.minions.values().filter(|m| m.takes_work(now));
         let sum = |sum: Resources, part: &Resources| sum.saturating_add(part);
-        let cell = Note::Cell {
+        let cell = Event::Cell {
             minions: taking().count(),
             used: taking().map(|m| &m.used).fold(Resources::ZERO, sum),
             capacity: taking()
@@ -48,9 +48,9 @@
             questions: self.questions.count(),
             agents: self.agents,
         };
-        self.note(cell);
-        for note in self.workspace_uses() {
-            self.note(note);
+        self.emit(cell);
+        for event in self.workspace_uses() {
+            self.emit(event);
         }
         let order = self.service_order(unix);
         let long = order.iter().filter_map(|id| {
@@ -58,33 +58,33 @@
             let age = unix.saturating_sub(step.accepted);
             (age > LONG_WAIT).then(|| self.step_wait(now, *id, step, age))
         });
-        for note in long.take(MAX_STEPS_REPORTED).collect::<Vec<_>>() {
-            self.note(note);
+        for event in long.take(MAX_STEPS_REPORTED).collect::<Vec<_>>() {
+            self.emit(event);
         }
     }
 
-    fn step_wait(&self, now: Timestamp, id: StepId, step: &ReadyStep, age: Duration) -> Note {
+    fn step_wait(&self, now: Timestamp, id: StepId, step: &ReadyStep, age: Duration) -> Event {
         let spec = &step.spec.steps[usize::from(id.step)];
-        let need = charged(spec);
-        let knowledge = self.knowledge.get(&id);
+        let need = demand(spec);
+        let step_advice = self.step_advice.get(&id);
         let mut suitable = self.candidates(id, step);
-        suitable.retain(|m| self.suits(now, m, id, step, spec));
+        suitable.retain(|m| self.has_permission(now, m, id, step, spec));
         let with_room = suitable.iter().filter(|m| need.fits_in(&m.free()));
-        Note::StepWaits {
+        Event::StepWaits {
             step: id,
             waiting: step.waiting.len(),
             age,
-            good: knowledge.map_or(0, |k| k.allowed_count()),
+            good: step_advice.map_or(0, |k| k.allowed_count()),
             tickets: suitable.len(),
             room: with_room.count(),
-            asked: knowledge.is_some_and(|k| k.is_asked()),
+            asked: step_advice.is_some_and(|k| k.is_asked()),
             limited: !self.is_allowed(step, spec),
-            surplus: step.is_surplus(),
+            excess: step.is_excess(),
         }
     }
 
     /// Use of the workspaces that have a limit, those nearest to it first.
-    fn workspace_uses(&self) -> Vec<Note> {
+    fn workspace_uses(&self) -> Vec<Event> {
         let mut waiting: BTreeMap<&WorkspaceName, WaitingTasks> = BTreeMap::new();
         for (id, step) in &self.ready {
             let Some(owner) = &step.owner else { continue };
@@ -95,13 +95,13 @@
                 counted.limited += tasks;
             }
         }
-        let mut uses: Vec<_> = self.quotas.uses().collect();
+        let mut uses: Vec<_> = self.quotas.usage_and_limits().collect();
         let parts = |(_, used, limit): &(_, Resources, Resources)| used.dominant_share(limit);
         uses.sort_by(|a, b| parts(b).total_cmp(&parts(a)));
         uses.truncate(MAX_WORKSPACES_REPORTED);
         let uses = uses.into_iter().map(|(name, used, limit)| {
             let waiting = waiting.get(name).copied().unwrap_or_default();
-            Note::WorkspaceUse {
+            Event::WorkspaceUse {
                 workspace: name.clone(),
                 used,
                 limit,
--- a/src/batch/dispatch/crashes.rs
+++ b/src/batch/dispatch/crashes.rs
@@ -11,9 +11,9 @@
 use super::minion::{Minion, Presence};
 use super::place::Score;
 use super::run::{Run, RunState};
+use crate::batch::event::Event;
 use crate::batch::ledger::{Certainty, Crash};
 use crate::batch::model::{MinionNumber, TaskId};
-use crate::batch::note::Note;
 use crate::ids::{MinionId, Timestamp};
 
 /// Run time after which a crash of the minion is not blamed on the start of a run.
@@ -22,8 +22,8 @@
 const RESTART_TIME: Duration = Duration::from_millis(300);
 /// Time for which a run on trial must be listed as running to pass its trial.
 const TRIAL_TIME: Duration = Duration::from_millis(200);
-/// Run time after which earlier crashes of a task are cleared.
-const CLEARED_AFTER: Duration = Duration::from_secs(5);
+/// Run time after which earlier crashes of a task are reset.
+const CRASHES_RESET_AFTER: Duration = Duration::from_secs(5);
 
 /// Whether a run may crash its minion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -95,7 +95,7 @@
     /// Adds crashes to the next batch, to be counted for the tasks that may have caused them.
     pub(super) fn count_crashes(&mut self, minion: MinionId, crashes: Vec<Crash>) {
         for crash in &crashes {
-            self.note(Note::CrashCounted {
+            self.emit(Event::CrashCounted {
                 task: crash.task,
                 run: crash.run,
                 minion: minion.clone(),
@@ -127,7 +127,7 @@
     }
 
     /// Handles a listing that shows a run as running: it may pass its trial or have its crashes
-    /// cleared.
+    /// reset.
     pub(super) fn seen_at_work(&mut self, now: Timestamp, number: MinionNumber, task: TaskId) {
         let Some(run) = self.runs.get_mut(&task) else {
             return;
@@ -140,12 +140,12 @@
                 run.suspicion = Suspicion::Passed;
                 if let Some(minion) = self.minions.get_mut(&number) {
                     minion.trials -= 1;
-                    self.place_wanted = true;
+                    self.placement_requested = true;
                 }
             }
-            Suspicion::Passed if now >= since + CLEARED_AFTER => {
+            Suspicion::Passed if now >= since + CRASHES_RESET_AFTER => {
                 run.suspicion = Suspicion::None;
-                self.batch.cleared.push(task);
+                self.batch.crashes_reset.push(task);
             }
             _ => {}
         }
@@ -165,10 +165,10 @@
 fn crash_certainty(run: &Run, minion: &Minion, sent: Timestamp) -> Option<Certainty> {
     match (run.state, run.ordered) {
         (RunState::Proposed | RunState::Ending, _) => None,
-        (RunState::Carried | RunState::CarriedInDoubt, _) => run.suspected,
+        (RunState::Transferred | RunState::TransferredInDoubt, _) => run.suspected,
         (RunState::Running(since), _) if minion.was_up_after(since + HARMLESS_AFTER) => None,
         (RunState::Running(since), Some(_)) if minion.was_down_by(since + HARMLESS_AFTER) => {
-            Some(Certainty::Begun)
+            Some(Certainty::Confirmed)
         }
         // The start was lost, or it reached the next incarnation.
         (RunState::Starting | RunState::InDoubt, Some(ordered))
--- a/src/batch/dispatch/gangs.rs
+++ b/src/batch/dispatch/gangs.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use super::advice::fits_times;
+use super::advice::max_tasks_in;
 use super::place::Score;
-use super::{Dispatcher, ReadyStep, charged};
+use super::{Dispatcher, ReadyStep, demand};
 use crate::batch::ledger::Ledger;
 use crate::batch::model::{MinionNumber, StepId, StepSpec};
 use crate::ids::Timestamp;
@@ -23,7 +23,7 @@
             return;
         }
         let mut members = step.waiting.iter().map(|index| id.task(*index));
-        if !members.all(|task| self.startable(ledger, task).is_some()) {
+        if !members.all(|task| self.waiting_record(ledger, task).is_some()) {
             return;
         }
         let places = self.gang_places(now, id, step, spec);
@@ -46,22 +46,22 @@
             .unwrap_or(1);
         let members = std::mem::take(&mut step.waiting);
         for (index, minion) in members.into_iter().zip(chosen) {
-            self.grant(now, id.task(index), step, spec, minion, run, ledger);
+            self.propose_start(now, id.task(index), step, spec, minion, run, ledger);
         }
     }
 
-    /// Minions that can run members of a gang, by rack, the best score first. A minion with claims
-    /// counts for one member only.
+    /// Minions that can run members of a gang, by rack, the best score first. A minion with
+    /// reservations counts for one member only.
     fn gang_places(&self, now: Timestamp, id: StepId, step: &ReadyStep, spec: &StepSpec) -> Places {
-        let need = charged(spec);
+        let need = demand(spec);
         let mut places = Places::new();
         for minion in self.minions.values() {
             if !self.may_run(now, minion, id, step, spec, &need) {
                 continue;
             }
             let most = spec.max_per_minion.unwrap_or(u32::MAX);
-            let slots = if self.claims.is_open(minion.number) {
-                fits_times(&minion.free(), &need).min(most)
+            let slots = if self.reservations.is_open(minion.number) {
+                max_tasks_in(&minion.free(), &need).min(most)
             } else {
                 1
             };
--- a/src/batch/dispatch/holds.rs
+++ b/src/batch/dispatch/holds.rs
@@ -7,9 +7,9 @@
 use super::crashes::GoneEvidence;
 use super::minion::{HoldState, Minion, Presence};
 use super::order::{HoldAnswer, HoldOrder, Listing, MinionOrder, Order};
+use crate::batch::event::Event;
 use crate::batch::ledger::Ledger;
 use crate::batch::model::{EndKind, MinionNumber};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
@@ -52,16 +52,16 @@
     ///
     /// Called after every answer. Scanning all minions each time would make the work per answer
     /// grow with the cell, so between full scans only minions with a recent event are checked.
-    pub(super) fn tend_minions(&mut self, now: Timestamp) {
-        let touched = std::mem::take(&mut self.touched);
+    pub(super) fn maintain_minions(&mut self, now: Timestamp) {
+        let changed = std::mem::take(&mut self.changed_minions);
         let needs_maintenance = |m: &&Minion| m.needs_maintenance(now);
-        let due: Vec<_> = if now >= self.tend_at {
-            self.tend_at = now + SCAN_INTERVAL;
+        let due: Vec<_> = if now >= self.next_minion_scan {
+            self.next_minion_scan = now + SCAN_INTERVAL;
             let due = self.minions.values().filter(needs_maintenance);
             due.map(|m| m.number).collect()
         } else {
-            let touched = touched.iter().filter_map(|number| self.minions.get(number));
-            touched
+            let changed = changed.iter().filter_map(|number| self.minions.get(number));
+            changed
                 .filter(needs_maintenance)
                 .map(|m| m.number)
                 .collect()
@@ -152,7 +152,7 @@
 
     fn wants_short_wait(&self, minion: &Minion) -> bool {
         let short = |run: &super::run::Run| {
-            !run.estimate.is_zero() && run.estimate <= SHORT_RUN || run.is_leaving()
+            !run.estimate.is_zero() && run.estimate <= SHORT_RUN || run.is_stopping()
         };
         let mut runs = minion.runs.iter().filter_map(|id| self.runs.get(id));
         minion.draining || runs.any(short)
@@ -173,7 +173,7 @@
         if sent < self.began {
             return;
         }
-        self.touched.insert(number);
+        self.changed_minions.insert(number);
         let Some(minion) = self.minions.get_mut(&number) else {
             return;
         };
@@ -182,7 +182,7 @@
                 started: Some(started),
                 ..
             }) if minion.is_other_incarnation(started) => {
-                self.restart_listed(now, number, sent, started)
+                self.restart_detected(now, number, sent, started)
             }
             HoldAnswer::Listing(listing) => {
                 minion.record_hold_answer(sent, now);
@@ -206,13 +206,13 @@
                 let pause = (RETRY_PAUSE * (minion.silent_calls - 1)).min(RETRY_PAUSE_MAX);
                 minion.hold = HoldState::Due(now + pause);
                 if minion.silent_calls == 1 {
-                    let note = Note::MinionSilent {
+                    let event = Event::MinionSilent {
                         minion: minion.report.id.clone(),
                         brought: answer.as_str(),
                         heard: now.saturating_sub(minion.heard),
                         runs: minion.runs.len(),
                     };
-                    self.note(note);
+                    self.emit(event);
                 }
                 let minion = &self.minions[&number];
                 if let HoldAnswer::Silent(silence) = answer
@@ -232,7 +232,7 @@
         if minion.silent_calls == 0 {
             return;
         }
-        let idle = minion.runs.is_empty() && minion.strays.is_empty();
+        let idle = minion.runs.is_empty() && minion.orphaned_runs.is_empty();
         let is_ending = minion.presence != Presence::Present;
         let no_report = now > minion.reported + REMOVE_IDLE_AFTER;
         if idle && (no_report || is_ending) && minion.lease_over(now) {
@@ -243,13 +243,13 @@
             return;
         }
         let tasks: Vec<_> = minion.runs.iter().copied().collect();
-        let note = Note::MinionGone {
+        let event = Event::MinionGone {
             minion: minion.report.id.clone(),
             why: "its lease is over",
             heard: now.saturating_sub(minion.heard),
             runs: tasks.len(),
         };
-        self.note(note);
+        self.emit(event);
         let suspects = self.suspects(&self.minions[&number], now);
         for task in tasks {
             self.run_over(now, task, EndKind::Lapsed, Default::default());
@@ -257,8 +257,8 @@
         if let Some(minion) = self.minions.get_mut(&number) {
             minion.lapsed.extend(suspects);
             minion.used = Resources::default();
-            let strays = std::mem::take(&mut minion.strays);
-            self.discharge(&strays);
+            let orphans = std::mem::take(&mut minion.orphaned_runs);
+            self.stop_charging(&orphans);
         }
     }
 
@@ -276,7 +276,7 @@
         };
         let tasks: Vec<_> = minion.runs.iter().copied().collect();
         let heard = minion.heard;
-        let note = Note::MinionGone {
+        let event = Event::MinionGone {
             minion: minion.report.id.clone(),
             why: evidence.as_str(),
             heard: now.saturating_sub(heard),
@@ -284,7 +284,7 @@
         };
         let crashed = evidence.shows_crash(minion);
         let mut suspects = self.suspects(minion, sent);
-        self.note(note);
+        self.emit(event);
         let kind = if crashed {
             EndKind::Crashed
         } else {
@@ -298,7 +298,7 @@
                 suspects.extend(&minion.lapsed);
                 self.count_crashes(minion.report.id.clone(), suspects);
             }
-            self.forget_minion(&minion);
+            self.drop_minion_state(&minion);
         }
     }
 }
--- a/src/batch/dispatch/listings.rs
+++ b/src/batch/dispatch/listings.rs
@@ -8,10 +8,10 @@
 use super::minion::OrphanedRun;
 use super::order::{ListedEnd, ListedRun, Listing, MinionOrder, Order};
 use super::run::{RunState, StopState};
-use super::{Dispatcher, charged};
+use super::{Dispatcher, demand};
+use crate::batch::event::Event;
 use crate::batch::ledger::{End, Ledger};
 use crate::batch::model::{Checkpoint, EndKind, MinionNumber, RunNumber, TaskId};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 
 /// Most ends that a minion lists. A listing with this many may be truncated, so a run that it does
@@ -45,13 +45,13 @@
         let first_answer = !minion.fenced;
         minion.fenced = true;
         if first_answer {
-            self.place_wanted = true;
+            self.placement_requested = true;
         }
         // An unreadable row may be any run. If that run counted as absent, its task would be
         // started a second time.
         let is_complete = listing.ended.len() < MAX_ENDS_LISTED && listing.unreadable == 0;
         if listing.unreadable > 0 {
-            self.note_unreadable(now, number, listing.unreadable);
+            self.report_unreadable(now, number, listing.unreadable);
         }
         for end in &listing.ended {
             self.take_end(now, number, end);
@@ -64,15 +64,15 @@
         }
     }
 
-    fn note_unreadable(&mut self, now: Timestamp, number: MinionNumber, rows: u32) {
-        let logged = self.unreadable_told;
+    fn report_unreadable(&mut self, now: Timestamp, number: MinionNumber, rows: u32) {
+        let logged = self.unreadable_logged_at;
         if logged.is_some_and(|at| now < at + UNREADABLE_LOG_INTERVAL) {
             return;
         }
-        self.unreadable_told = Some(now);
+        self.unreadable_logged_at = Some(now);
         if let Some(minion) = self.minions.get(&number) {
             let minion = minion.report.id.clone();
-            self.note(Note::RowsUnreadable { minion, rows });
+            self.emit(Event::RowsUnreadable { minion, rows });
         }
     }
 
@@ -85,8 +85,8 @@
         }
         minion.seen_end = end.number;
         self.unacknowledged.insert(number);
-        if let Some(orphan) = minion.strays.remove(&(end.task, end.run)) {
-            self.orphan_over(number, end.task, end.run, &orphan);
+        if let Some(orphan) = minion.orphaned_runs.remove(&(end.task, end.run)) {
+            self.orphan_ended(number, end.task, end.run, &orphan);
         }
         let is_tracked = self
             .runs
@@ -108,7 +108,7 @@
             return;
         };
         minion.succeeded();
-        let run_time = run.worked(now);
+        let run_time = run.elapsed(now);
         self.profiles.learn(&run.queue, run.estimate, run_time);
         if self.cfg.mechanisms.has(Mechanism::LearntSpeeds) {
             self.speeds.learn(&mut minion.pace, run.estimate, run_time);
@@ -132,7 +132,7 @@
         else {
             return;
         };
-        if !run.ends && run.worked(now) >= PROVEN_HEALTHY_AFTER {
+        if !run.ends && run.elapsed(now) >= PROVEN_HEALTHY_AFTER {
             minion.succeeded();
         } else {
             minion.failed(now);
@@ -160,9 +160,9 @@
             checkpoint
         };
         let run = run.clone();
-        self.free_room(task, &run);
+        self.release_resources(task, &run);
         let id = self.minions.get(&run.minion).map(|m| m.report.id.clone());
-        self.note(Note::RunEnded {
+        self.emit(Event::RunEnded {
             task,
             run: run.run,
             minion: id.unwrap_or_default(),
@@ -196,7 +196,7 @@
                 run.checkpoint = listed.checkpoint.clone();
             }
             if run.ends && self.cfg.mechanisms.has(Mechanism::Progress) {
-                run.take_progress(now, listed.percent);
+                run.record_progress(now, listed.percent);
             }
             self.seen_at_work(now, number, listed.task);
             return;
@@ -217,7 +217,7 @@
         let Some(minion) = self.minions.get_mut(&number) else {
             return;
         };
-        let due = match minion.strays.get_mut(&(task, run)) {
+        let due = match minion.orphaned_runs.get_mut(&(task, run)) {
             Some(orphan) => {
                 let due = now >= orphan.stop_sent + ORPHAN_STOP_INTERVAL;
                 if due {
@@ -231,7 +231,7 @@
                 if let Some(charge) = orphan.charge(task, run) {
                     self.quotas.add(charge);
                 }
-                minion.strays.insert((task, run), orphan);
+                minion.orphaned_runs.insert((task, run), orphan);
                 true
             }
         };
@@ -275,9 +275,9 @@
             }
             let stopped = matches!(run.stop, StopState::Confirmed(at) if at < sent);
             let kind = match run.state {
-                RunState::Carried => Some(EndKind::Crashed),
-                RunState::CarriedInDoubt if stopped => Some(EndKind::Crashed),
-                RunState::CarriedInDoubt => {
+                RunState::Transferred => Some(EndKind::Crashed),
+                RunState::TransferredInDoubt if stopped => Some(EndKind::Crashed),
+                RunState::TransferredInDoubt => {
                     in_doubt.push(*task);
                     None
                 }
@@ -306,7 +306,7 @@
         };
         // An orphaned run that is listed neither as running nor as ended has ended before.
         let mut over = Vec::new();
-        minion.strays.retain(|(task, run), orphan| {
+        minion.orphaned_runs.retain(|(task, run), orphan| {
             let stays = listed(*task, *run) || orphan.stop_sent >= sent;
             if !stays {
                 over.push((*task, *run, orphan.clone()));
@@ -314,20 +314,20 @@
             stays
         });
         for (task, run, orphan) in over {
-            self.orphan_over(number, task, run, &orphan);
+            self.orphan_ended(number, task, run, &orphan);
         }
     }
 
     /// Stops counting orphaned runs that are over against the limits of their workspaces.
-    pub(super) fn discharge(&mut self, strays: &BTreeMap<(TaskId, RunNumber), OrphanedRun>) {
-        for ((task, run), orphan) in strays {
+    pub(super) fn stop_charging(&mut self, orphans: &BTreeMap<(TaskId, RunNumber), OrphanedRun>) {
+        for ((task, run), orphan) in orphans {
             if let Some(charge) = orphan.charge(*task, *run) {
                 self.quotas.remove(charge);
             }
         }
     }
 
-    fn orphan_over(
+    fn orphan_ended(
         &mut self,
         number: MinionNumber,
         task: TaskId,
@@ -340,7 +340,7 @@
         if let Some(charge) = orphan.charge(task, run) {
             self.quotas.remove(charge);
         }
-        self.place_wanted = true;
+        self.placement_requested = true;
     }
 }
 
@@ -351,7 +351,7 @@
     let spec = job.and_then(|job| job.spec.steps.get(usize::from(task.step.step)));
     let owner = job.and_then(|job| job.owner.clone());
     OrphanedRun {
-        room: spec.map_or_else(Default::default, charged),
+        room: spec.map_or_else(Default::default, demand),
         owned: owner.zip(spec.map(|spec| spec.need)),
         stop_sent: now,
     }
--- a/src/batch/dispatch/mechanisms.rs
+++ b/src/batch/dispatch/mechanisms.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
     /// Reserves room for tasks that cannot start yet.
-    Claims,
+    Reservations,
     /// Starts work in reserved room if it should end before the room is needed.
     Backfill,
     /// Stops less urgent runs for more urgent tasks.
@@ -27,7 +27,7 @@
     /// Asks the policy service about steps before they are ready.
     AskAhead,
     /// Orders jobs beyond the share of their workspace behind all others.
-    SurplusLast,
+    ExcessLast,
     /// At a workspace's limit, stops its own less urgent runs for its more urgent tasks.
     LimitPreemption,
 }
@@ -35,7 +35,7 @@
 impl Mechanism {
     /// All mechanisms, in the order of the operators' documentation.
     pub const ALL: [Self; 12] = [
-        Self::Claims,
+        Self::Reservations,
         Self::Backfill,
         Self::Preemption,
         Self::Lateness,
@@ -45,14 +45,14 @@
         Self::Progress,
         Self::TightFit,
         Self::AskAhead,
-        Self::SurplusLast,
+        Self::ExcessLast,
         Self::LimitPreemption,
     ];
 
     /// Name on the command line, as taken by [`Mechanisms::without`].
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Claims => "claims",
+            Self::Reservations => "claims",
             Self::Backfill => "backfill",
             Self::Preemption => "preemption",
             Self::Lateness => "lateness",
@@ -62,7 +62,7 @@
             Self::Progress => "progress",
             Self::TightFit => "tight-fit",
             Self::AskAhead => "ask-ahead",
-            Self::SurplusLast => "surplus-last",
+            Self::ExcessLast => "surplus-last",
             Self::LimitPreemption => "limit-preemption",
         }
     }
--- a/src/batch/dispatch/minion.rs
+++ b/src/batch/dispatch/minion.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::STALE_ORDERS;
+use super::ORDER_EXPIRY;
 use super::crashes::GoneEvidence;
 use super::order::{Silence, Target};
 use super::quota::Charge;
@@ -71,16 +71,16 @@
 
 /// A start order without an answer.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct UnsettledStart {
+pub(super) struct UnansweredStart {
     pub(super) task: TaskId,
     pub(super) run: RunNumber,
     pub(super) sent: Timestamp,
 }
 
-impl UnsettledStart {
+impl UnansweredStart {
     /// Whether the minion, or its next incarnation, may still carry the order out.
-    pub(super) fn may_come(&self, now: Timestamp) -> bool {
-        now < self.sent + STALE_ORDERS
+    pub(super) fn may_still_start(&self, now: Timestamp) -> bool {
+        now < self.sent + ORDER_EXPIRY
     }
 }
 
@@ -149,20 +149,20 @@
     pub(super) acked_end: u64,
     /// Room of its runs, including runs that are being stopped.
     pub(super) used: Resources,
-    /// Millicores declared by filler tasks; not part of `used`.
-    pub(super) filling: u32,
+    /// Millicores declared by tasks that use idle CPU; not part of `used`.
+    pub(super) idle_cpu_demand: u32,
     /// Number of runs with a latency target.
     pub(super) serving: u32,
     pub(super) runs: BTreeSet<TaskId>,
     /// Runs that it lists but that the leader doesn't track there.
-    pub(super) strays: BTreeMap<(TaskId, RunNumber), OrphanedRun>,
+    pub(super) orphaned_runs: BTreeMap<(TaskId, RunNumber), OrphanedRun>,
     /// Number of runs on trial; nothing else starts beside one.
     pub(super) trials: u32,
     /// Suspected runs whose lease expired while it was silent. They count as causes of its crash if
     /// it turns out that it crashed.
     pub(super) lapsed: Vec<Crash>,
     /// Unanswered starts that the next incarnation of this id may still carry out.
-    pub(super) unsettled: Vec<UnsettledStart>,
+    pub(super) unanswered_starts: Vec<UnansweredStart>,
     /// Consecutive failed runs and refused starts.
     pub(super) failures: u32,
     /// Run times observed on it.
@@ -195,13 +195,13 @@
             seen_end: 0,
             acked_end: 0,
             used: Resources::default(),
-            filling: 0,
+            idle_cpu_demand: 0,
             serving: 0,
             runs: BTreeSet::new(),
-            strays: BTreeMap::new(),
+            orphaned_runs: BTreeMap::new(),
             trials: 0,
             lapsed: Vec::new(),
-            unsettled: Vec::new(),
+            unanswered_starts: Vec::new(),
             failures: 0,
             pace: Pace::default(),
             avoid_until: Timestamp::ZERO,
@@ -218,7 +218,7 @@
     }
 
     /// Records that another incarnation reported from its address.
-    pub(super) fn displaced(&mut self, now: Timestamp) {
+    pub(super) fn mark_displaced(&mut self, now: Timestamp) {
         if self.presence == Presence::Present {
             self.presence = Presence::Displaced(now);
         }
@@ -236,7 +236,7 @@
     }
 
     /// Records its announcement that it ends.
-    pub(super) fn left(&mut self, now: Timestamp) {
+    pub(super) fn mark_leaving(&mut self, now: Timestamp) {
         if !matches!(self.presence, Presence::Leaving(_)) {
             self.presence = Presence::Leaving(now);
         }
@@ -406,9 +406,10 @@
 
     /// Records a start that got no answer by `now`, and drops those that can no longer be carried
     /// out.
-    pub(super) fn record_unsettled(&mut self, start: UnsettledStart, now: Timestamp) {
-        self.unsettled.retain(|start| start.may_come(now));
-        self.unsettled.push(start);
+    pub(super) fn record_unanswered_start(&mut self, start: UnansweredStart, now: Timestamp) {
+        self.unanswered_starts
+            .retain(|start| start.may_still_start(now));
+        self.unanswered_starts.push(start);
     }
 
     /// Whether a minion with its id that started at `started` is another incarnation.
@@ -445,6 +446,6 @@
 
     /// Whether it has, or may have, runs or unacknowledged ends.
     pub(super) fn is_busy(&self) -> bool {
-        !self.runs.is_empty() || !self.strays.is_empty() || self.seen_end > self.acked_end
+        !self.runs.is_empty() || !self.orphaned_runs.is_empty() || self.seen_end > self.acked_end
     }
 }
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -8,9 +8,9 @@
 mod advice;
 mod answers;
 mod applied;
-mod census;
-mod claims;
+mod cell_report;
 mod crashes;
+mod excess;
 mod forecast;
 mod gangs;
 mod holds;
@@ -21,27 +21,27 @@
 mod order;
 mod place;
 mod profile;
-mod prospects;
+mod question_candidates;
 mod questions;
 mod quota;
 mod ready;
 mod reports;
+mod reservations;
 mod restarts;
 mod run;
-mod scarcity;
-mod share;
 mod speed;
+mod utilization;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::time::Duration;
 
+use super::event::Event;
 use super::ledger::{Batch, Ledger, TaskRecord, TaskState};
 use super::model::{Configuration, JobId, MinionNumber, MinionReport, StepId, TaskId};
-use super::note::Note;
 use crate::ids::{MinionId, ServiceName, Term, Timestamp};
 
-use advice::Knowledge;
+use advice::StepAdvice;
 use crashes::Suspicion;
 pub use mechanisms::{Mechanism, Mechanisms};
 use minion::{CLOCK_RATE, Minion};
@@ -51,7 +51,7 @@
     StartRefusal, Target,
 };
 use ready::ReadyStep;
-use run::{Run, RunState, StopState, charged};
+use run::{Run, RunState, StopState, demand};
 
 /// Uncommitted batches at a time. Two keep the log busy while one is synced to disk; more would
 /// only make the batches smaller.
@@ -61,7 +61,7 @@
 const LEASE_MARGIN: Duration = Duration::from_millis(300);
 
 /// An unanswered order is not carried out any more after this time.
-const STALE_ORDERS: Duration = Duration::from_secs(5);
+const ORDER_EXPIRY: Duration = Duration::from_secs(5);
 
 /// Limits of the platform, and the optional mechanisms in use.
 #[derive(Clone, Debug)]
@@ -91,9 +91,9 @@
     runs: BTreeMap<TaskId, Run>,
     ready: BTreeMap<StepId, ReadyStep>,
     /// Steps whose unfinished predecessor tasks are all running.
-    coming: BTreeMap<StepId, ReadyStep>,
+    upcoming: BTreeMap<StepId, ReadyStep>,
     dirty_jobs: BTreeSet<JobId>,
-    knowledge: BTreeMap<StepId, Knowledge>,
+    step_advice: BTreeMap<StepId, StepAdvice>,
     /// Unanswered questions to the policy service.
     questions: questions::Questions,
     /// Time of the next search for steps that went without a question for too long.
@@ -101,41 +101,41 @@
     /// Processes that can send questions to the policy service.
     agents: usize,
     /// Runs that are being stopped and still occupy their resources.
-    leaving: BTreeSet<TaskId>,
+    stopping: BTreeSet<TaskId>,
     /// Free resources of all minions by priority of the work, with the time of their computation.
-    availabilities: HashMap<u32, (Timestamp, prospects::Availabilities)>,
+    availabilities: HashMap<u32, (Timestamp, question_candidates::Availabilities)>,
     /// Utilization of each service.
-    utilizations: scarcity::Utilizations,
+    utilizations: utilization::Utilizations,
     /// Expected releases of resources on each minion, with the time of their computation.
     releases: RefCell<HashMap<MinionNumber, (Timestamp, forecast::Releases)>>,
     /// Limits and usage of workspaces.
     quotas: quota::Quotas,
     /// Jobs submitted above the weights of their workspaces.
-    shares: share::ExcessJobs,
+    excess: excess::ExcessJobs,
     /// Resources reserved for waiting tasks in the current placement round.
-    claims: claims::Claims,
+    reservations: reservations::Reservations,
     /// Changes collected for the next batch.
     batch: Batch,
     /// Minions whose state changed since their last maintenance.
-    touched: BTreeSet<MinionNumber>,
+    changed_minions: BTreeSet<MinionNumber>,
     /// Time of the next maintenance of all minions.
-    tend_at: Timestamp,
+    next_minion_scan: Timestamp,
     /// Minions with ends that were received and are not acknowledged.
     unacknowledged: BTreeSet<MinionNumber>,
     /// For each uncommitted batch, the last end received from each minion; acknowledged on commit.
     batches: VecDeque<Vec<(MinionNumber, u64)>>,
     /// Time of the last log line about unreadable rows.
-    unreadable_told: Option<Timestamp>,
+    unreadable_logged_at: Option<Timestamp>,
     /// Set when something that placement depends on has changed.
-    place_wanted: bool,
+    placement_requested: bool,
     /// Earliest next placement round after a change.
     place_not_before: Timestamp,
     /// Next placement round without a change.
     place_at: Timestamp,
     /// Next occurrence of each job with a timetable, by Unix time.
     timetable: BTreeSet<(Timestamp, JobId, u32)>,
-    /// Time of the next note on the state of the cell.
-    census_at: Timestamp,
+    /// Time of the next event on the state of the cell.
+    next_cell_report: Timestamp,
     /// Highest priority number seen so far; higher numbers are less urgent.
     least_urgent: u32,
     /// Ratio of measured to declared run times over all minions.
@@ -163,30 +163,30 @@
             next_minion: ledger.next_minion,
             runs: BTreeMap::new(),
             ready: BTreeMap::new(),
-            coming: BTreeMap::new(),
+            upcoming: BTreeMap::new(),
             dirty_jobs: BTreeSet::new(),
-            knowledge: BTreeMap::new(),
+            step_advice: BTreeMap::new(),
             questions: questions::Questions::default(),
             passed_over_at: now,
             agents: 1,
-            leaving: BTreeSet::new(),
+            stopping: BTreeSet::new(),
             availabilities: HashMap::new(),
-            utilizations: scarcity::Utilizations::default(),
+            utilizations: utilization::Utilizations::default(),
             releases: RefCell::new(HashMap::new()),
             quotas: quota::Quotas::default(),
-            shares: share::ExcessJobs::default(),
-            claims: claims::Claims::default(),
+            excess: excess::ExcessJobs::default(),
+            reservations: reservations::Reservations::default(),
             batch: Batch::default(),
-            touched: BTreeSet::new(),
-            tend_at: now,
+            changed_minions: BTreeSet::new(),
+            next_minion_scan: now,
             unacknowledged: BTreeSet::new(),
             batches: Default::default(),
-            unreadable_told: None,
-            place_wanted: true,
+            unreadable_logged_at: None,
+            placement_requested: true,
             place_not_before: now,
             place_at: now,
             timetable: BTreeSet::new(),
-            census_at: now,
+            next_cell_report: now,
             least_urgent: 0,
             speeds: speed::CommonPace::default(),
             profiles: profile::Profiles::default(),
@@ -201,7 +201,7 @@
             minion.assumed_until = assumed;
             d.add_minion(minion);
         }
-        d.renew_limits(ledger);
+        d.refresh_limits(ledger);
         d.restore_submissions(ledger);
         for job in ledger.jobs.values() {
             d.profiles.declared(job);
@@ -209,7 +209,7 @@
         for id in ledger.jobs.keys() {
             d.restore_job(ledger, *id, now);
         }
-        d.out.push(Order::Note(Box::new(Note::LeadBegan {
+        d.out.push(Order::Event(Box::new(Event::LeadBegan {
             term,
             runs: d.runs.len(),
             jobs: ledger.jobs.values().filter(|j| !j.state.is_final()).count(),
@@ -277,7 +277,7 @@
         minion.rack = self.rack_of(&minion.report);
         self.next_minion = self.next_minion.max(minion.number + 1);
         self.by_id.insert(minion.report.id.clone(), minion.number);
-        self.touched.insert(minion.number);
+        self.changed_minions.insert(minion.number);
         self.utilizations.changed();
         self.minions.insert(minion.number, minion);
     }
@@ -291,13 +291,13 @@
     }
 
     /// Drops all remaining state of an incarnation that was removed.
-    fn forget_minion(&mut self, minion: &Minion) {
+    fn drop_minion_state(&mut self, minion: &Minion) {
         if self.by_id.get(&minion.report.id) == Some(&minion.number) {
             self.by_id.remove(&minion.report.id);
         }
         self.unacknowledged.remove(&minion.number);
         self.forget_releases(minion.number);
-        self.discharge(&minion.strays);
+        self.stop_charging(&minion.orphaned_runs);
         self.batch.gone.push(minion.number);
     }
 
@@ -317,11 +317,11 @@
 
     fn add_run(&mut self, id: TaskId, run: Run) {
         self.forget_releases(run.minion);
-        self.touched.insert(run.minion);
+        self.changed_minions.insert(run.minion);
         self.utilizations.changed();
         if let Some(minion) = self.minions.get_mut(&run.minion) {
             minion.used = minion.used.saturating_add(&run.need);
-            minion.filling += run.fills;
+            minion.idle_cpu_demand += run.idle_cpu_demand;
             minion.serving += u32::from(run.serves);
             minion.trials += u32::from(run.suspicion == Suspicion::Trial);
             minion.runs.insert(id);
@@ -329,8 +329,8 @@
         if let Some(charge) = run.charge(id) {
             self.quotas.add(charge);
         }
-        if run.is_leaving() {
-            self.leaving.insert(id);
+        if run.is_stopping() {
+            self.stopping.insert(id);
         }
         self.least_urgent = self.least_urgent.max(run.priority);
         self.runs.insert(id, run);
@@ -339,13 +339,13 @@
     /// Removes a run and releases its resources.
     fn remove_run(&mut self, id: TaskId) -> Option<Run> {
         let run = self.runs.remove(&id)?;
-        self.leaving.remove(&id);
-        self.free_room(id, &run);
+        self.stopping.remove(&id);
+        self.release_resources(id, &run);
         self.dirty_jobs.insert(id.step.job);
         Some(run)
     }
 
-    fn free_room(&mut self, id: TaskId, run: &Run) {
+    fn release_resources(&mut self, id: TaskId, run: &Run) {
         self.forget_releases(run.minion);
         if let Some(charge) = run.charge(id) {
             self.quotas.remove(charge);
@@ -354,16 +354,16 @@
             && minion.runs.remove(&id)
         {
             minion.used = minion.used.saturating_sub(&run.need);
-            minion.filling -= run.fills;
+            minion.idle_cpu_demand -= run.idle_cpu_demand;
             minion.serving -= u32::from(run.serves);
             minion.trials -= u32::from(run.suspicion == Suspicion::Trial);
             self.utilizations.changed();
-            self.place_wanted = true;
+            self.placement_requested = true;
         }
     }
 
-    fn note(&mut self, note: Note) {
-        self.out.push(Order::Note(Box::new(note)));
+    fn emit(&mut self, event: Event) {
+        self.out.push(Order::Event(Box::new(event)));
     }
 
     /// Does all work that is due and returns the batch to propose to the log. `now` is monotonic
@@ -372,14 +372,14 @@
         self.begin_due_occurrences(unix);
         self.refresh_capacities(now);
         self.refresh_ready(now, ledger);
-        self.tend_minions(now);
+        self.maintain_minions(now);
         let may_propose = self.batches.len() < MAX_UNCOMMITTED_BATCHES;
-        let wanted = self.place_wanted && now >= self.place_not_before;
+        let wanted = self.placement_requested && now >= self.place_not_before;
         if may_propose && (wanted || now >= self.place_at) {
             self.place(now, unix, ledger);
         }
         self.send_stops(now);
-        self.take_census(now, unix);
+        self.report_cell_state(now, unix);
         if may_propose { self.take_batch() } else { None }
     }
 
@@ -431,9 +431,9 @@
         let Some(timetable) = job.spec.timetable else {
             return;
         };
-        if job.begun < timetable.occurrences {
+        if job.due_so_far < timetable.occurrences {
             self.timetable
-                .insert((timetable.due(job.begun), id, job.begun));
+                .insert((timetable.due(job.due_so_far), id, job.due_so_far));
         }
     }
 
@@ -448,7 +448,7 @@
     }
 
     /// The record of a waiting task that has no tracked run.
-    fn startable<'a>(&self, ledger: &'a Ledger, id: TaskId) -> Option<&'a TaskRecord> {
+    fn waiting_record<'a>(&self, ledger: &'a Ledger, id: TaskId) -> Option<&'a TaskRecord> {
         let task = ledger.task(id)?;
         let waits = task.state == TaskState::Waiting && !self.runs.contains_key(&id);
         waits.then_some(task)
--- a/src/batch/dispatch/objective.rs
+++ b/src/batch/dispatch/objective.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use super::Dispatcher;
-use super::advice::FEWEST_ASKED;
+use super::advice::MIN_MINIONS_PER_QUESTION;
 use super::mechanisms::Mechanism;
-use super::run::charged;
+use super::run::demand;
 use crate::batch::ledger::Job;
 use crate::batch::model::{Grouping, Lifetime, StepId, StepSpec};
 use crate::ids::{ServiceName, Timestamp};
@@ -121,7 +121,7 @@
         let tasks = tasks.map(|o| o.steps[usize::from(id.step)].tasks.iter());
         let failed = tasks.and_then(|tasks| tasks.map(|task| task.failures).max());
         let questions = job.queue.advice.map_or(Duration::ZERO, |t| {
-            t.base + t.per_minion * FEWEST_ASKED as u32
+            t.base + t.per_minion * MIN_MINIONS_PER_QUESTION as u32
         });
         takes * (self.waves(job, step) + failed.unwrap_or(0)) + questions
     }
@@ -133,7 +133,7 @@
         let Some(room) = room.filter(|_| !together) else {
             return 1;
         };
-        let share = charged(step).dominant_share(room) * f64::from(step.count);
+        let share = demand(step).dominant_share(room) * f64::from(step.count);
         let own = job.owner.as_ref().and_then(|name| self.quotas.limit(name));
         let own = own.map_or(0.0, |limit| {
             step.need.dominant_share(limit) * f64::from(step.count)
--- a/src/batch/dispatch/place.rs
+++ b/src/batch/dispatch/place.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use super::advice::{Knowledge, Turn};
+use super::advice::{QuestionReason, StepAdvice};
 use super::crashes::Suspicion;
 use super::mechanisms::Mechanism;
 use super::minion::Minion;
 use super::quota::LimitState;
-use super::run::{Run, charged};
-use super::scarcity::Utilization;
+use super::run::{Run, demand};
 use super::speed::Slowness;
+use super::utilization::Utilization;
 use super::{Dispatcher, ReadyStep};
+use crate::batch::event::Event;
 use crate::batch::ledger::{Ledger, Start};
 use crate::batch::model::{Grouping, Lifetime, MinionNumber, StepId, StepSpec, TaskId};
-use crate::batch::note::Note;
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
@@ -38,17 +38,17 @@
 impl Dispatcher {
     /// Runs one placement round over all ready steps, in the order of service.
     pub(super) fn place(&mut self, now: Timestamp, unix: Timestamp, ledger: &Ledger) {
-        self.place_wanted = false;
+        self.placement_requested = false;
         self.place_at = now + IDLE_PLACE_PAUSE;
         self.refresh_utilization(now);
-        self.claims = self.claims.next_round(now);
+        self.reservations = self.reservations.next_round(now);
         self.quotas.next_round();
         let order = self.service_order(unix);
         let mut started = 0;
         for id in &order {
             let id = *id;
             if started >= MAX_STARTS_PER_ROUND {
-                self.place_wanted = true;
+                self.placement_requested = true;
                 break;
             }
             let Some(step) = self.ready.remove(&id) else {
@@ -60,7 +60,7 @@
         if self.cfg.mechanisms.has(Mechanism::AskAhead) {
             self.ask_ahead(now);
         }
-        if self.claims.are_many() {
+        if self.reservations.are_many() {
             self.place_not_before = now + CROWDED_PAUSE;
         }
     }
@@ -95,13 +95,13 @@
         // A question about a lasting task names the minions on which resources are reserved for it,
         // so they are reserved first.
         if step.is_lasting() {
-            self.claim_room(now, unix, id, &step);
+            self.reserve_resources(now, unix, id, &step);
         }
         if let Some(terms) = step.queue.advice {
-            self.ask(now, id, &step, terms, Turn::Now);
+            self.ask(now, id, &step, terms, QuestionReason::Now);
         }
         if !step.is_lasting() {
-            self.claim_room(now, unix, id, &step);
+            self.reserve_resources(now, unix, id, &step);
         }
         self.ready.insert(id, step);
         placed
@@ -118,7 +118,7 @@
         spec: &StepSpec,
     ) {
         if let Some(terms) = step.queue.advice {
-            self.ask(now, id, step, terms, Turn::Now);
+            self.ask(now, id, step, terms, QuestionReason::Now);
         }
         self.make_room_in_limit(now, unix, id, step, spec);
     }
@@ -136,16 +136,16 @@
                 return;
             }
             let task = id.task(index);
-            let Some(record) = self.startable(ledger, task) else {
+            let Some(record) = self.waiting_record(ledger, task) else {
                 step.waiting.remove(0);
                 continue;
             };
-            let suspect = record.crashes.are_suspect();
+            let suspect = record.crashes.any();
             let Some(minion) = self.choose(now, id, step, spec, suspect) else {
                 return;
             };
             step.waiting.remove(0);
-            self.grant(now, task, step, spec, minion, 0, ledger);
+            self.propose_start(now, task, step, spec, minion, 0, ledger);
         }
     }
 
@@ -159,7 +159,7 @@
         spec: &StepSpec,
         suspect: bool,
     ) -> Option<MinionNumber> {
-        let need = charged(spec);
+        let need = demand(spec);
         let candidates = self.candidates(id, step).into_iter();
         let candidates = candidates.filter(|m| self.may_run(now, m, id, step, spec, &need));
         let score = |m: &&Minion| self.score(m, step, spec, &need);
@@ -174,7 +174,7 @@
     /// Minions that may have a ticket for a step; all minions where its queue has no policy. Few
     /// have a ticket, so the others aren't examined.
     pub(super) fn candidates(&self, id: StepId, step: &ReadyStep) -> Vec<&Minion> {
-        self.listed_minions(id, step, Knowledge::ticketed)
+        self.listed_minions(id, step, StepAdvice::minions_with_ticket)
     }
 
     /// Minions of one of the lists in the policy state of a step; all minions where its queue has
@@ -183,12 +183,12 @@
         &'a self,
         id: StepId,
         step: &ReadyStep,
-        list: impl Fn(&'a Knowledge) -> I,
+        list: impl Fn(&'a StepAdvice) -> I,
     ) -> Vec<&'a Minion> {
         if step.queue.advice.is_none() {
             return self.minions.values().collect();
         }
-        let listed = self.knowledge.get(&id).into_iter().flat_map(list);
+        let listed = self.step_advice.get(&id).into_iter().flat_map(list);
         listed
             .filter_map(|number| self.minions.get(&number))
             .collect()
@@ -207,14 +207,15 @@
     ) -> bool {
         minion.trials == 0
             && need.fits_in(&minion.free())
-            && (!spec.fills || minion.filling + spec.need.millicores <= minion.free().millicores)
-            && self.leaves_claims(now, minion, step, spec, need)
-            && self.suits(now, minion, id, step, spec)
+            && (!spec.fills
+                || minion.idle_cpu_demand + spec.need.millicores <= minion.free().millicores)
+            && self.respects_reservations(now, minion, step, spec, need)
+            && self.has_permission(now, minion, id, step, spec)
     }
 
     /// Whether a minion is eligible for a step and has a ticket where one is needed, regardless of
     /// its free resources.
-    pub(super) fn suits(
+    pub(super) fn has_permission(
         &self,
         now: Timestamp,
         minion: &Minion,
@@ -225,7 +226,7 @@
         self.is_eligible(now, minion, id, step, spec)
             && (step.queue.advice.is_none()
                 || self
-                    .knowledge
+                    .step_advice
                     .get(&id)
                     .is_some_and(|k| k.has_ticket(minion.number, now)))
     }
@@ -252,15 +253,15 @@
         // A task that uses idle CPU slows down latency-sensitive tasks on the same minion, so the
         // two kinds are kept apart.
         if (spec.fills && minion.serving > 0)
-            || (spec.latency_target.is_some() && minion.filling > 0)
+            || (spec.latency_target.is_some() && minion.idle_cpu_demand > 0)
         {
             return false;
         }
         spec.max_per_minion
-            .is_none_or(|most| self.of_step_on(minion, id) < most)
+            .is_none_or(|most| self.tasks_of_step_on(minion, id) < most)
     }
 
-    pub(super) fn of_step_on(&self, minion: &Minion, id: StepId) -> u32 {
+    pub(super) fn tasks_of_step_on(&self, minion: &Minion, id: StepId) -> u32 {
         minion.runs.range(id.tasks()).count() as u32
     }
 
@@ -281,7 +282,7 @@
             .as_ref()
             .is_some_and(|rack| !minion.has_label(rack));
         let mut left = minion.free().saturating_sub(need);
-        left.millicores = left.millicores.saturating_sub(minion.filling);
+        left.millicores = left.millicores.saturating_sub(minion.idle_cpu_demand);
         let utilization = self.utilization(&minion.report.service);
         let slowness = self.speeds.slowness(&minion.pace);
         let urgent = step.queue.priority == 0 && spec.lifetime == Lifetime::Finite;
@@ -303,7 +304,7 @@
     /// Adds the start of a task to the next batch and tracks the run; the order is sent after the
     /// commit.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn grant(
+    pub(super) fn propose_start(
         &mut self,
         now: Timestamp,
         task: TaskId,
@@ -320,7 +321,7 @@
         let Some(minion) = self.minions.get(&number) else {
             return;
         };
-        self.note(Note::RunPlaced {
+        self.emit(Event::RunPlaced {
             task,
             run,
             minion: minion.report.id.clone(),
@@ -339,7 +340,7 @@
         let mut run = Run::new(run, number, (spec, &step.queue), checkpoint, now);
         run.owner = step.owner.clone();
         run.expected = self.expected_time(&step.queue.name, run.estimate);
-        if record.crashes.are_suspect() {
+        if record.crashes.any() {
             run.suspicion = Suspicion::Trial;
         }
         self.add_run(task, run);
--- a/src/batch/dispatch/prospects.rs
+++ b/src/batch/dispatch/question_candidates.rs
@@ -4,18 +4,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::advice::{FEWEST_ASKED, fits_times};
+use super::advice::{MIN_MINIONS_PER_QUESTION, max_tasks_in};
 use super::minion::Minion;
-use super::run::charged;
+use super::run::demand;
 use super::speed::Slowness;
 use super::{Dispatcher, ReadyStep};
 use crate::batch::model::{AdviceTerms, MinionNumber, StepId};
-use crate::batch::rank::rank;
+use crate::batch::rendezvous::rendezvous_weight;
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
 /// Most minions that the policy service accepts in one question.
-const MAX_MINIONS_ASKED: usize = 100;
+const MAX_MINIONS_PER_QUESTION: usize = 100;
 /// Weights by what is known of the policy. A minion known to be allowed always gets a ticket, an
 /// unknown one about every second time.
 const WEIGHT_ALLOWED: u32 = 2;
@@ -59,7 +59,7 @@
             soon: minion.free(),
         };
         for run in minion.runs.iter().filter_map(|id| self.runs.get(id)) {
-            if run.is_leaving() || (run.yields && run.priority > priority) {
+            if run.is_stopping() || (run.preemptible && run.priority > priority) {
                 available.preemptible = available.preemptible.saturating_add(&run.need);
                 available.soon = available.soon.saturating_add(&run.need);
             } else if run.expected_end(now).is_some_and(|end| end < now + SOON) {
@@ -76,7 +76,7 @@
     /// name many. When a step with one task left asked about two minions at a time, other work took
     /// their resources before the answer came, and the task waited for 12 s in a cell that was 80%
     /// full.
-    pub(super) fn whom_to_ask(
+    pub(super) fn question_candidates(
         &mut self,
         now: Timestamp,
         id: StepId,
@@ -88,11 +88,11 @@
         // New tickets should arrive before the current ones expire.
         let lead_time = terms.base + terms.per_minion * most as u32;
         let availabilities = self.availabilities(now, step.queue.priority);
-        let Some(knowledge) = self.knowledge.get(&id) else {
+        let Some(step_advice) = self.step_advice.get(&id) else {
             return Vec::new();
         };
         let spec = &step.spec.steps[usize::from(id.step)];
-        let need = charged(spec);
+        let need = demand(spec);
         let urgent = step.queue.priority == 0;
         let mut candidates = Vec::new();
         let mut availabilities = availabilities.iter().peekable();
@@ -108,15 +108,16 @@
             // A ticket for a minion that already runs its maximum of the step would be useless, and
             // such minions could displace all others when few tasks are left.
             if !self.is_eligible(now, minion, id, step, spec)
-                || knowledge.forbids(minion.number)
-                || knowledge.has_ticket(minion.number, now + lead_time)
+                || step_advice.forbids(minion.number)
+                || step_advice.has_ticket(minion.number, now + lead_time)
                 || !need.fits_in(&minion.report.capacity)
             {
                 continue;
             }
-            let own = |most: u32| most.saturating_sub(self.of_step_on(minion, id));
+            let own = |most: u32| most.saturating_sub(self.tasks_of_step_on(minion, id));
             let share = spec.max_per_minion.map_or(u32::MAX, own);
-            let fits = |available: &Resources| fits_times(available, &need).min(share.min(waiting));
+            let fits =
+                |available: &Resources| max_tasks_in(available, &need).min(share.min(waiting));
             let open = available
                 .free
                 .saturating_sub(&self.questions.earmarked(minion.number));
@@ -132,10 +133,11 @@
                 let soon = need.fits_in(&available.soon);
                 (if soon { WEIGHT_SOON } else { WEIGHT_LATER }, 0)
             });
-            let allowed = knowledge.allows(minion.number);
+            let allowed = step_advice.allows(minion.number);
             let slowness = self.speeds.slowness(&minion.pace);
             candidates.push(Candidate {
-                reserved: step.is_lasting() && self.claims.of_step_on(minion.number, id) > 0,
+                reserved: step.is_lasting()
+                    && self.reservations.tasks_of_step_on(minion.number, id) > 0,
                 weight: weight
                     * if allowed {
                         WEIGHT_ALLOWED
@@ -144,7 +146,7 @@
                     },
                 preferred: urgent == (slowness <= Slowness::Usual),
                 places,
-                tie: rank(minion.number, id.job),
+                tie: rendezvous_weight(minion.number, id.job),
                 minion: minion.number,
                 allowed,
             });
@@ -197,10 +199,10 @@
 /// part.
 fn max_candidates(terms: AdviceTerms) -> usize {
     if terms.per_minion.is_zero() {
-        return MAX_MINIONS_ASKED;
+        return MAX_MINIONS_PER_QUESTION;
     }
     let even = terms.base.as_secs_f64() / terms.per_minion.as_secs_f64();
-    (even as usize).clamp(FEWEST_ASKED, MAX_MINIONS_ASKED)
+    (even as usize).clamp(MIN_MINIONS_PER_QUESTION, MAX_MINIONS_PER_QUESTION)
 }
 
 /// As many of the best candidates as should yield tickets for twice the waiting tasks, each with
@@ -214,7 +216,7 @@
     let mut chosen = Vec::new();
     for candidate in candidates {
         let enough = places >= 2 * WEIGHT_ALLOWED * waiting;
-        if chosen.len() >= most || (enough && chosen.len() >= FEWEST_ASKED) {
+        if chosen.len() >= most || (enough && chosen.len() >= MIN_MINIONS_PER_QUESTION) {
             break;
         }
         let weight = if candidate.allowed {
--- a/src/batch/dispatch/quota.rs
+++ b/src/batch/dispatch/quota.rs
@@ -9,9 +9,9 @@
 use super::Dispatcher;
 use super::mechanisms::Mechanism;
 use super::ready::ReadyStep;
+use crate::batch::event::Event;
 use crate::batch::ledger::Ledger;
 use crate::batch::model::{Grouping, RunNumber, StepId, StepSpec, TaskId};
-use crate::batch::note::Note;
 use crate::ids::{Timestamp, WorkspaceName};
 use crate::resources::Resources;
 
@@ -97,7 +97,7 @@
     }
 
     /// Number of tasks with this need that may start now; `u32::MAX` without a limit.
-    pub(super) fn times(&self, owner: Option<&WorkspaceName>, need: &Resources) -> u32 {
+    pub(super) fn startable_tasks(&self, owner: Option<&WorkspaceName>, need: &Resources) -> u32 {
         owner
             .and_then(|owner| self.room(owner))
             .map_or(u32::MAX, |room| need.times_in(&room))
@@ -125,7 +125,9 @@
     }
 
     /// Usage and limit of each workspace that has a limit.
-    pub(super) fn uses(&self) -> impl Iterator<Item = (&WorkspaceName, Resources, Resources)> {
+    pub(super) fn usage_and_limits(
+        &self,
+    ) -> impl Iterator<Item = (&WorkspaceName, Resources, Resources)> {
         let limits = self.limits.iter();
         limits.map(|(owner, limit)| (owner, self.used(owner), *limit))
     }
@@ -183,17 +185,17 @@
 
 impl Dispatcher {
     /// Reads the current limits from the ledger.
-    pub(super) fn renew_limits(&mut self, ledger: &Ledger) {
+    pub(super) fn refresh_limits(&mut self, ledger: &Ledger) {
         let limits = ledger.workspaces();
         self.quotas
             .set_limits(limits.map(|(name, workspace)| (name.clone(), workspace.limit)));
-        self.place_wanted = true;
+        self.placement_requested = true;
     }
 
     /// Whether the limit of a step's workspace lets any of its tasks start.
     pub(super) fn is_allowed(&self, step: &ReadyStep, spec: &StepSpec) -> bool {
         self.quotas
-            .times(step.owner.as_ref(), &required(step, spec))
+            .startable_tasks(step.owner.as_ref(), &required(step, spec))
             > 0
     }
 
@@ -222,14 +224,14 @@
         step: &ReadyStep,
         spec: &StepSpec,
     ) {
-        let worth_it = !step.is_late(unix) && !step.is_surplus();
+        let worth_it = !step.is_late(unix) && !step.is_excess();
         if !worth_it || !self.cfg.mechanisms.has(Mechanism::LimitPreemption) {
             return;
         }
         let owner = step.owner.as_ref();
         let victims = owner.and_then(|o| self.victims_in_limit(now, o, step, spec));
         for (task, run) in victims.into_iter().flatten() {
-            self.note(Note::RunPreempted { task, run, by: id });
+            self.emit(Event::RunPreempted { task, run, by: id });
             self.stop_run(now, task);
         }
     }
@@ -251,9 +253,9 @@
             let Some(run) = self.runs.get(task).filter(|run| run.run == *number) else {
                 continue;
             };
-            if run.is_leaving() {
+            if run.is_stopping() {
                 after = after.saturating_sub(&run.need);
-            } else if self.yields_to(now, run, step.queue.priority) {
+            } else if self.is_preemptible_for(now, run, step.queue.priority) {
                 let rank = (Reverse((run.priority, run.proposed)), *task);
                 preemptible.push((rank, run));
             }
--- a/src/batch/dispatch/ready.rs
+++ b/src/batch/dispatch/ready.rs
@@ -18,7 +18,7 @@
     class: u8,
     /// Whether the job was submitted above the weight of its workspace; such jobs come after all
     /// others.
-    surplus: bool,
+    excess: bool,
     /// Priority of the queue; 0 is the most urgent.
     priority: u32,
     /// Unix time by which the job should be done, from its objective.
@@ -39,7 +39,7 @@
     /// Since when it has had waiting tasks, in monotonic time.
     pub(super) since: Timestamp,
     /// Next check for a question to the policy service, while its predecessors still run.
-    pub(super) look_at: Timestamp,
+    pub(super) check_at: Timestamp,
     /// Expected run time of this step plus that of the longest chain of steps after it.
     pub(super) remaining: Duration,
     /// Indices of the tasks to start, in order.
@@ -58,8 +58,8 @@
     }
 
     /// Whether its job was submitted above the weight of its workspace.
-    pub(super) fn is_surplus(&self) -> bool {
-        self.key.surplus
+    pub(super) fn is_excess(&self) -> bool {
+        self.key.excess
     }
 
     /// Whether a finite job clearly misses its objective.
@@ -68,7 +68,7 @@
     }
 
     /// Whether a finite job is so late that it has no value any more.
-    pub(super) fn is_worthless(&self, unix: Timestamp) -> bool {
+    pub(super) fn is_expired(&self, unix: Timestamp) -> bool {
         !self.is_lasting() && self.late_penalty(unix) >= EXPIRED_PENALTY
     }
 
@@ -121,11 +121,11 @@
         order.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Rebuilds the ready and coming steps of all changed jobs.
+    /// Rebuilds the ready and upcoming steps of all changed jobs.
     pub(super) fn refresh_ready(&mut self, now: Timestamp, ledger: &Ledger) {
         for id in std::mem::take(&mut self.dirty_jobs) {
             let before = remove_job(&mut self.ready, id);
-            remove_job(&mut self.coming, id);
+            remove_job(&mut self.upcoming, id);
             let Some(job) = ledger.jobs.get(&id) else {
                 continue;
             };
@@ -133,10 +133,10 @@
                 let since = before.get(&step).map_or(now, |before| before.since);
                 self.add_ready(job, step, since);
             }
-            for step in ledger.coming_steps(id) {
+            for step in ledger.upcoming_steps(id) {
                 let count = job.spec.steps[usize::from(step.step)].count;
-                let coming = self.ready_step(job, step, (0..count).collect(), now);
-                self.coming.insert(step, coming);
+                let upcoming = self.ready_step(job, step, (0..count).collect(), now);
+                self.upcoming.insert(step, upcoming);
             }
         }
     }
@@ -154,7 +154,7 @@
         if waiting.is_empty() || !whole {
             return;
         }
-        self.place_wanted = true;
+        self.placement_requested = true;
         let step = self.ready_step(job, id, waiting, since);
         self.ready.insert(id, step);
     }
@@ -165,7 +165,7 @@
         let expected = self.expected_times(job, id);
         let key = OrderKey {
             class: if lasting { CLASS_LASTING } else { CLASS_FINITE },
-            surplus: !lasting && self.is_surplus(id.job),
+            excess: !lasting && self.is_excess(id.job),
             priority: job.queue.priority,
             due: due(job, id, expected.allowed),
             step: Reverse(id.step),
@@ -177,7 +177,7 @@
             owner: job.owner.clone(),
             accepted: job.accepted,
             since,
-            look_at: since,
+            check_at: since,
             remaining: expected.remaining[usize::from(id.step)],
             waiting,
         }
--- a/src/batch/dispatch/reports.rs
+++ b/src/batch/dispatch/reports.rs
@@ -3,8 +3,8 @@
 use super::Dispatcher;
 use super::minion::Minion;
 use super::restarts::RestartSource;
+use crate::batch::event::Event;
 use crate::batch::model::{MinionNumber, MinionReport, Readiness};
-use crate::batch::note::Note;
 use crate::ids::{MinionId, Timestamp};
 use crate::resources::Resources;
 
@@ -18,10 +18,10 @@
         // The minion known at this address may have ended; the next call to it will show.
         let at_same_addr = |m: &&mut Minion| m.report.addr == report.addr;
         for old in self.minions.values_mut().filter(at_same_addr) {
-            old.displaced(now);
-            self.touched.insert(old.number);
+            old.mark_displaced(now);
+            self.changed_minions.insert(old.number);
         }
-        self.note(Note::MinionJoined {
+        self.emit(Event::MinionJoined {
             minion: report.id.clone(),
             started: report.started,
         });
@@ -40,14 +40,14 @@
             (Some(reported), Some(known)) if reported < known => {
                 // The report is from an earlier incarnation, or from a new one whose host's clock
                 // was set back. The next call will show which.
-                minion.displaced(now);
-                self.touched.insert(number);
+                minion.mark_displaced(now);
+                self.changed_minions.insert(number);
                 return;
             }
             _ => {}
         }
         minion.reported = now;
-        self.touched.insert(number);
+        self.changed_minions.insert(number);
         if report.sequence < minion.report.sequence {
             return;
         }
@@ -61,7 +61,7 @@
         if draining && !minion.draining {
             minion.draining = true;
             self.batch.draining.push(number);
-            self.note(Note::MinionDraining {
+            self.emit(Event::MinionDraining {
                 minion: id,
                 sequence,
             });
@@ -78,27 +78,27 @@
             return;
         };
         let minion = minion.report.id.clone();
-        self.note(Note::MinionResized { minion, capacity });
+        self.emit(Event::MinionResized { minion, capacity });
         self.batch.resized.push((number, capacity));
         self.utilizations.changed();
         self.forget_releases(number);
-        self.place_wanted = true;
+        self.placement_requested = true;
     }
 
     /// Handles a minion's message that it is about to end.
-    pub fn left(&mut self, now: Timestamp, id: &MinionId) {
+    pub fn minion_left(&mut self, now: Timestamp, id: &MinionId) {
         let Some(minion) = self.by_id.get(id).and_then(|n| self.minions.get_mut(n)) else {
             return;
         };
         if !minion.draining {
             self.batch.draining.push(minion.number);
         }
-        minion.left(now);
-        self.touched.insert(minion.number);
-        let note = Note::MinionLeft {
+        minion.mark_leaving(now);
+        self.changed_minions.insert(minion.number);
+        let event = Event::MinionLeft {
             minion: id.clone(),
             runs: minion.runs.len(),
         };
-        self.note(note);
+        self.emit(event);
     }
 }
--- a/src/batch/dispatch/run.rs
+++ b/src/batch/dispatch/run.rs
@@ -28,9 +28,9 @@
     Running(Timestamp),
     /// Its minion restarted and has not listed it. Its start order was carried out, by this
     /// incarnation or by the previous one.
-    Carried,
+    Transferred,
     /// Its minion restarted and has not listed it. An order to start it may still be carried out.
-    CarriedInDoubt,
+    TransferredInDoubt,
     /// Its end is known and not committed yet.
     Ending,
 }
@@ -57,7 +57,7 @@
     pub(super) state: RunState,
     pub(super) stop: StopState,
     pub(super) need: Resources,
-    pub(super) fills: u32,
+    pub(super) idle_cpu_demand: u32,
     pub(super) serves: bool,
     /// On the minion's clock: no start order that was sent is carried out after this.
     pub(super) deadline: Duration,
@@ -91,7 +91,7 @@
     /// Whether it ends without a stop order; false for lasting tasks.
     pub(super) ends: bool,
     /// Whether it can be preempted without loss of work.
-    pub(super) yields: bool,
+    pub(super) preemptible: bool,
 }
 
 impl Run {
@@ -108,8 +108,8 @@
             minion,
             state: RunState::Proposed,
             stop: StopState::No,
-            need: charged(spec),
-            fills: if spec.fills { spec.need.millicores } else { 0 },
+            need: demand(spec),
+            idle_cpu_demand: if spec.fills { spec.need.millicores } else { 0 },
             serves: spec.latency_target.is_some(),
             deadline: Duration::ZERO,
             tries: 0,
@@ -131,22 +131,22 @@
             queue: queue.name.clone(),
             priority: queue.priority,
             ends: spec.lifetime == Lifetime::Finite,
-            yields: spec.saves_progress
+            preemptible: spec.saves_progress
                 && spec.lifetime == Lifetime::Finite
                 && spec.grouping == Grouping::Single,
         }
     }
 
     /// Records the completed share of its work from a listing, in percent.
-    pub(super) fn take_progress(&mut self, now: Timestamp, percent: u32) {
+    pub(super) fn record_progress(&mut self, now: Timestamp, percent: u32) {
         let from_the_start = self.begun.filter(|_| !self.resumed);
         let (at, from) = from_the_start.map_or((now, percent), |begun| (begun, 0));
-        let progress = self.progress.get_or_insert(Progress::begun(at, from));
-        progress.take(now, percent);
+        let progress = self.progress.get_or_insert(Progress::starting_at(at, from));
+        progress.record(now, percent);
     }
 
     /// Time since the confirmed start order was sent; zero when an earlier leader sent it.
-    pub(super) fn worked(&self, now: Timestamp) -> Duration {
+    pub(super) fn elapsed(&self, now: Timestamp) -> Duration {
         let begun = self.begun;
         begun.map_or(Duration::ZERO, |at| now.saturating_sub(at))
     }
@@ -155,7 +155,7 @@
     /// CPU are charged with all CPU that they declare.
     pub(super) fn charge(&self, task: TaskId) -> Option<Charge<'_>> {
         let need = Resources {
-            millicores: self.need.millicores.max(self.fills),
+            millicores: self.need.millicores.max(self.idle_cpu_demand),
             ..self.need
         };
         Some(Charge {
@@ -167,13 +167,13 @@
     }
 
     /// Whether a stop is requested, so that its resources will be freed.
-    pub(super) fn is_leaving(&self) -> bool {
+    pub(super) fn is_stopping(&self) -> bool {
         self.stop != StopState::No
     }
 }
 
-/// Resources that a task reserves on its minion; one that uses idle CPU reserves no CPU.
-pub(super) fn charged(spec: &StepSpec) -> Resources {
+/// Resources that a task demands of its minion; one that uses idle CPU demands no CPU.
+pub(super) fn demand(spec: &StepSpec) -> Resources {
     Resources {
         millicores: if spec.fills { 0 } else { spec.need.millicores },
         ..spec.need
--- a/src/batch/note.rs
+++ b/src/batch/event.rs
@@ -11,7 +11,7 @@
 
 /// One decision or observation of the leader.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum Event {
     /// A job was accepted.
     JobAccepted {
         /// Id of the job.
@@ -217,7 +217,7 @@
         /// Whether the step waits because its workspace is at its limit.
         limited: bool,
         /// Whether its job exceeds the guaranteed rate of its workspace.
-        surplus: bool,
+        excess: bool,
     },
     /// Periodic: resource usage of a workspace that has a limit.
     WorkspaceUse {
--- a/src/batch/ledger/batch.rs
+++ b/src/batch/ledger/batch.rs
@@ -15,7 +15,7 @@
     /// Incarnations whose capacity changed, with the new capacity.
     pub resized: Vec<(MinionNumber, Resources)>,
     /// Runs whose minions restarted under the same name, with the numbers of the new incarnations.
-    pub moved: Vec<(TaskId, RunNumber, MinionNumber)>,
+    pub reassigned: Vec<(TaskId, RunNumber, MinionNumber)>,
     /// Incarnations that reported that they are draining.
     pub draining: Vec<MinionNumber>,
     /// Runs that ended.
@@ -24,7 +24,7 @@
     pub crashes: Vec<Crash>,
     /// Tasks whose crash counts are reset: they have run for so long that they cannot have caused
     /// the crashes counted against them.
-    pub cleared: Vec<TaskId>,
+    pub crashes_reset: Vec<TaskId>,
     /// Incarnations that are gone and have no active runs.
     pub gone: Vec<MinionNumber>,
     /// Occurrences of scheduled jobs that are due.
@@ -38,11 +38,11 @@
     pub fn is_empty(&self) -> bool {
         self.joined.is_empty()
             && self.resized.is_empty()
-            && self.moved.is_empty()
+            && self.reassigned.is_empty()
             && self.draining.is_empty()
             && self.ends.is_empty()
             && self.crashes.is_empty()
-            && self.cleared.is_empty()
+            && self.crashes_reset.is_empty()
             && self.gone.is_empty()
             && self.due.is_empty()
             && self.starts.is_empty()
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Certainty {
     /// The minion confirmed the start and crashed soon after.
-    Begun,
+    Confirmed,
     /// The start was sent but not confirmed, and the minion crashed soon after.
     InDoubt,
     /// The start was sent, and the minion may have crashed long before or after.
@@ -88,7 +88,7 @@
     /// Value in logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Begun => "begun",
+            Self::Confirmed => "begun",
             Self::InDoubt => "in-doubt",
             Self::Possible => "possible",
         }
--- a/src/batch/ledger/commands.rs
+++ b/src/batch/ledger/commands.rs
@@ -140,7 +140,7 @@
         let open = self.jobs.values().filter(|job| job.may_run());
         let owners: BTreeSet<_> = open.filter_map(|job| job.owner.as_ref()).collect();
         before.retain(|name, _| owners.contains(name));
-        self.removed = before;
+        self.removed_workspaces = before;
     }
 
     fn submit(
@@ -187,7 +187,7 @@
                 minion.report.capacity = *capacity;
             }
         }
-        for (task, run, number) in &batch.moved {
+        for (task, run, number) in &batch.reassigned {
             self.reassign_run(*task, *run, *number);
         }
         for number in &batch.draining {
@@ -201,7 +201,7 @@
         for crash in &batch.crashes {
             self.count_crash(crash);
         }
-        for task in &batch.cleared {
+        for task in &batch.crashes_reset {
             self.reset_crashes(*task);
         }
         for number in &batch.gone {
@@ -344,7 +344,7 @@
             .is_some_and(|o| o.steps.iter().all(|s| s.open == 0));
         if all_done {
             job.occurrences.remove(&occurrence);
-            if job.occurrences.is_empty() && job.begun >= job.total_occurrences() {
+            if job.occurrences.is_empty() && job.due_so_far >= job.total_occurrences() {
                 self.finish_job(id, JobState::Done);
             }
         }
--- a/src/batch/ledger/queries.rs
+++ b/src/batch/ledger/queries.rs
@@ -66,7 +66,7 @@
         let declared = self.config.as_ref();
         let declared = declared.and_then(|config| config.parsed.workspaces.as_ref());
         let declared = declared.and_then(|w| w.by_name.get(name));
-        declared.or_else(|| self.removed.get(name))
+        declared.or_else(|| self.removed_workspaces.get(name))
     }
 
     /// Workspaces whose limits apply: those of the configuration, and removed ones that still have
@@ -75,7 +75,7 @@
         let declared = self.config.as_ref();
         let declared = declared.and_then(|config| config.parsed.workspaces.as_ref());
         let declared = declared.into_iter().flat_map(|w| w.by_name.iter());
-        self.removed.iter().chain(declared)
+        self.removed_workspaces.iter().chain(declared)
     }
 
     /// Whether a configuration of this version would take effect.
@@ -100,7 +100,7 @@
     }
 
     /// Jobs whose recorded end time equals that of the latest command.
-    pub(crate) fn ended_now(&self) -> impl Iterator<Item = JobId> + '_ {
+    pub(crate) fn jobs_ended_at_last_command(&self) -> impl Iterator<Item = JobId> + '_ {
         let latest = self.ended.iter().rev();
         let latest = latest.take_while(|(at, _)| *at == self.clock);
         latest.map(|(_, id)| *id)
@@ -123,7 +123,7 @@
     }
 
     /// Steps of an open job whose dependencies are not all done, but have all their tasks started.
-    pub fn coming_steps(&self, id: JobId) -> Vec<StepId> {
+    pub fn upcoming_steps(&self, id: JobId) -> Vec<StepId> {
         self.steps_where(id, |occurrence, _, spec| {
             !occurrence.is_ready(spec) && occurrence.has_started_dependencies(spec)
         })
--- a/src/batch/ledger/records.rs
+++ b/src/batch/ledger/records.rs
@@ -34,7 +34,7 @@
     /// Occurrences that are due and not done, by number.
     pub occurrences: BTreeMap<u32, Occurrence>,
     /// Number of occurrences that have become due so far.
-    pub begun: u32,
+    pub due_so_far: u32,
 }
 
 /// One repetition of a job's steps.
@@ -84,7 +84,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crashes {
     /// The minion confirmed the start and crashed soon after.
-    pub begun: u32,
+    pub confirmed: u32,
     /// The start was sent but not confirmed, and the minion crashed soon after.
     pub in_doubt: u32,
     /// The start was sent, and the minion may have crashed long before or after.
@@ -115,7 +115,7 @@
             accepted,
             state: JobState::Queued,
             occurrences: BTreeMap::new(),
-            begun: 0,
+            due_so_far: 0,
         };
         if job.spec.timetable.is_none() {
             job.begin(0);
@@ -125,10 +125,10 @@
 
     /// Creates the records of an occurrence that is due; ignored unless it is the next one.
     pub(super) fn begin(&mut self, occurrence: u32) {
-        if occurrence != self.begun {
+        if occurrence != self.due_so_far {
             return;
         }
-        self.begun += 1;
+        self.due_so_far += 1;
         let steps = self.spec.steps.iter().map(StepRecord::new).collect();
         self.occurrences.insert(occurrence, Occurrence { steps });
     }
@@ -159,21 +159,21 @@
     /// Counts one crash.
     pub(super) fn count(&mut self, certainty: Certainty) {
         match certainty {
-            Certainty::Begun => self.begun += 1,
+            Certainty::Confirmed => self.confirmed += 1,
             Certainty::InDoubt => self.in_doubt += 1,
             Certainty::Possible => self.possible += 1,
         }
     }
 
     /// Whether the task may have caused any crash.
-    pub fn are_suspect(&self) -> bool {
-        self.begun + self.in_doubt + self.possible > 0
+    pub fn any(&self) -> bool {
+        self.confirmed + self.in_doubt + self.possible > 0
     }
 
     /// Whether there are so many that the task must not start again.
     pub(super) fn exceed_limit(&self) -> bool {
-        let in_doubt = self.begun + self.in_doubt;
-        self.begun >= MAX_CRASHES
+        let in_doubt = self.confirmed + self.in_doubt;
+        self.confirmed >= MAX_CRASHES
             || in_doubt >= MAX_CRASHES_IN_DOUBT
             || in_doubt + self.possible >= MAX_CRASHES_POSSIBLE
     }
--- a/tests/batch_claims.rs
+++ b/tests/batch_claims.rs
@@ -1,4 +1,4 @@
-//! Claims of room for large tasks and gangs, and preemption for them.
+//! Reservations of room for large tasks and gangs, and preemption for them.
 
 mod batch_world;
 
@@ -89,14 +89,14 @@
 /// A minion is full of small overlays when a render is submitted that needs all of it. The overlays
 /// would run so long that the render would be late, so they are preempted. Their room comes free
 /// piece by piece, and each preempted overlay waits to resume and would fit there. The room must
-/// stay claimed until all of it is free: the render starts, and no overlay is preempted twice.
+/// stay reserved until all of it is free: the render starts, and no overlay is preempted twice.
 #[test]
-fn room_freed_by_preemption_stays_claimed_until_it_suffices() {
+fn room_freed_by_preemption_stays_reserved_until_it_suffices() {
     let mut world = World::new();
     let minion = world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, overlays(), vec![on_accelerators(8, 1, 20_000)]);
     assert_eq!(world.start_all().len(), 8);
-    world.pass(ms(3_000));
+    world.advance(ms(3_000));
     world.submit_to(2, renders(), vec![on_accelerators(1, 8, 4_000)]);
     let stops = world.take_stops();
     assert_eq!(stops.len(), 8);
@@ -107,7 +107,7 @@
         let started = jobs_of(&world.start_all());
         let expected: &[JobId] = if i == 7 { &[2] } else { &[] };
         assert_eq!(started, expected, "after {} ends", i + 1);
-        world.pass(ms(20));
+        world.advance(ms(20));
         assert_eq!(world.take_stops().len(), 0);
     }
 }
@@ -120,14 +120,14 @@
     world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, overlays(), vec![on_accelerators(8, 1, 20_000)]);
     world.start_all();
-    world.pass(ms(3_000));
+    world.advance(ms(3_000));
     let tight_objective = Queue {
         slo: ms(0),
         stretch: 0.85,
         ..renders()
     };
     world.submit_to(2, tight_objective, vec![on_accelerators(1, 8, 4_000)]);
-    world.pass(ms(100));
+    world.advance(ms(100));
     assert_eq!(world.take_stops().len(), 0);
 }
 
@@ -138,9 +138,9 @@
     world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, overlays(), vec![on_accelerators(8, 1, 5_000)]);
     world.start_all();
-    world.pass(ms(3_000));
+    world.advance(ms(3_000));
     world.submit_to(2, renders(), vec![on_accelerators(1, 8, 4_000)]);
-    world.pass(ms(100));
+    world.advance(ms(100));
     assert_eq!(world.take_stops().len(), 0);
 }
 
@@ -148,7 +148,7 @@
 /// Overlays that should end before the long run are backfilled into the idle room; longer ones
 /// wait, as each would delay the render.
 #[test]
-fn claimed_room_is_backfilled_by_work_that_ends_in_time() {
+fn reserved_room_is_backfilled_by_work_that_ends_in_time() {
     let mut world = World::new();
     world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, renders(), vec![on_accelerators(1, 4, 6_000)]);
@@ -160,10 +160,10 @@
 }
 
 /// A gang of two needs all of both minions, which run tasks that end at different times. The minion
-/// that comes free first stays claimed; otherwise small work would take it before the other is
+/// that comes free first stays reserved; otherwise small work would take it before the other is
 /// free.
 #[test]
-fn room_is_claimed_for_all_members_of_a_gang() {
+fn room_is_reserved_for_all_members_of_a_gang() {
     let mut world = World::new();
     let first = world.join_as(accelerator_minion("i-1", 1));
     world.join_as(accelerator_minion("i-2", 2));
@@ -177,16 +177,16 @@
     };
     world.submit_to(3, renders(), vec![gang]);
     world.submit_to(4, overlays(), vec![on_accelerators(4, 1, 20_000)]);
-    world.pass(ms(2_000));
+    world.advance(ms(2_000));
     assert_eq!(early[0].0, first);
     let done = ends(&[(1, 0, 1)], 1, EndKind::Done);
     world.list(first, Vec::new(), done);
     assert_eq!(jobs_of(&world.start_all()), [] as [JobId; 0]);
 }
 
-/// A step that fits on no minion claims no room and preempts nothing.
+/// A step that fits on no minion reserves no room and preempts nothing.
 #[test]
-fn a_task_larger_than_every_minion_claims_no_room() {
+fn a_task_larger_than_every_minion_reserves_no_room() {
     let mut world = World::new();
     world.join_as(accelerator_minion("i-1", 1));
     world.submit_to(1, renders(), vec![on_accelerators(1, 9, 4_000)]);
