--- a/src/schema/describe.rs
+++ b/src/schema/describe.rs
@@ -1,10 +1,10 @@
-//! The schema as text for people: every key with its type, default and purpose.
+//! Renders a schema as Markdown: every key with its type, default and purpose.
 
 use std::fmt::Write;
 
 use super::{Field, Record, Records, Scalar, Texts, Visitor};
 
-/// Describes a record as Markdown tables, one for each mapping.
+/// Describes a record as Markdown tables, one for each mapping, outer mappings first.
 pub fn describe(title: &str, record: &mut dyn Record) -> String {
     let mut pending = vec![(title.to_owned(), String::new(), None)];
     let mut out = String::new();
@@ -34,9 +34,11 @@
     out
 }
 
+/// Visitor that collects one table row for each field of a mapping.
 struct Rows {
     path: String,
     rows: String,
+    /// Mappings within this one, by path; each gets a table of its own.
     nested: Vec<(String, Box<dyn Record>)>,
 }
 
--- a/src/schema/mod.rs
+++ b/src/schema/mod.rs
@@ -1,5 +1,5 @@
-//! One schema for everything written in YAML: each type lists its fields once, and reading,
-//! writing, comparing, describing and the console's forms all walk that list.
+//! The schema framework for YAML files. Each type lists its fields once; reading, writing,
+//! comparing, describing and the console's forms are visitors over that list.
 
 mod describe;
 mod problems;
@@ -30,16 +30,16 @@
 /// One field of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Field {
-    /// Key in YAML.
+    /// Key in the YAML mapping.
     pub key: &'static str,
-    /// What it is for, in a plain sentence.
+    /// Purpose of the field, shown in messages and generated pages.
     pub doc: &'static str,
-    /// Whether it must be given.
+    /// Whether a text without this key is refused.
     pub required: bool,
 }
 
 impl Field {
-    /// A field that must be given.
+    /// Describes a field that every text must contain.
     pub const fn required(key: &'static str, doc: &'static str) -> Self {
         Self {
             key,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// A field that has a default.
+    /// Describes a field that keeps its default when the key is missing.
     pub const fn optional(key: &'static str, doc: &'static str) -> Self {
         Self {
             key,
@@ -60,13 +60,13 @@
 
 /// A value written as one YAML scalar.
 pub trait Scalar {
-    /// Takes a value from its text, or says in a few words what is wrong with it.
+    /// Sets the value from its text. The error is a short message for the user.
     fn parse(&mut self, text: &str) -> Result<(), String>;
-    /// Gives the canonical text; none when the value is absent.
+    /// Returns the canonical text, or `None` when the value is absent.
     fn text(&self) -> Option<String>;
-    /// Says in a few words what is expected, with an example.
+    /// Describes the expected format in a few words, with an example.
     fn expected(&self) -> String;
-    /// The words allowed, when it is a choice.
+    /// Returns the allowed words; empty unless the value is an enumeration.
     fn choices(&self) -> Vec<&'static str> {
         Vec::new()
     }
@@ -74,52 +74,53 @@
 
 /// A value written as a YAML mapping with known keys.
 pub trait Record {
-    /// Shows each field to the visitor, always in the same order.
+    /// Calls the visitor for each field, always in the same order.
     fn visit(&mut self, v: &mut dyn Visitor);
-    /// A record in which every optional field has its default.
+    /// Returns a record in which every optional field has its default.
     fn initial() -> Self
     where
         Self: Sized;
-    /// The same as `initial`, behind the trait.
+    /// Returns the same as `initial`, callable on a trait object.
     fn blank(&self) -> Box<dyn Record>;
 }
 
 /// A YAML list of scalars.
 pub trait Texts {
-    /// Takes one more element.
+    /// Parses an element and appends it.
     fn push(&mut self, text: &str) -> Result<(), String>;
-    /// The elements.
+    /// Returns the canonical texts of all elements.
     fn all(&self) -> Vec<String>;
-    /// Says in a few words what an element is.
+    /// Describes the expected format of an element in a few words.
     fn expected(&self) -> String;
-    /// Removes all elements.
+    /// Removes all elements; a list in the text replaces the default list.
     fn clear(&mut self);
 }
 
-/// Several records: a YAML mapping by name, or a list.
+/// A collection of records: a YAML mapping from names, or a YAML list.
 pub trait Records {
-    /// Whether the records have names.
+    /// Returns true for a mapping from names and false for a list.
     fn keyed(&self) -> bool;
-    /// Adds a record with its defaults and fills it in: under a name, or at a position of a
-    /// list, else at its end.
+    /// Adds a record with its defaults and calls `fill` on it. In a mapping, `name` is the key,
+    /// and a record already there is filled again. In a list, `name` is the index to insert at;
+    /// the record is appended if it is no valid index.
     fn add(&mut self, name: &str, fill: &mut dyn FnMut(&mut dyn Record));
-    /// Shows each record with its name, or its position in a list.
+    /// Calls `show` for each record with its name, or with its index in a list.
     fn each(&mut self, show: &mut dyn FnMut(&str, &mut dyn Record));
-    /// A record with its defaults.
+    /// Returns a record of the element type with its defaults.
     fn sample(&self) -> Box<dyn Record>;
-    /// Removes the record with a name, or at a position in a list. Tells whether there was one.
+    /// Removes the record with a name, or at an index of a list. Returns whether it existed.
     fn remove(&mut self, name: &str) -> bool;
 }
 
-/// Walks the fields of a record.
+/// Receives the fields of a record from [`Record::visit`].
 pub trait Visitor {
-    /// A scalar field.
+    /// Visits a field with a single value.
     fn scalar(&mut self, field: Field, slot: &mut dyn Scalar);
-    /// A list of scalars.
+    /// Visits a field with a list of scalars.
     fn texts(&mut self, field: Field, slot: &mut dyn Texts);
-    /// A record within the record.
+    /// Visits a field with a nested mapping.
     fn record(&mut self, field: Field, slot: &mut dyn Record);
-    /// Several records.
+    /// Visits a field with a collection of records.
     fn records(&mut self, field: Field, slot: &mut dyn Records);
 }
 
--- a/src/schema/problems.rs
+++ b/src/schema/problems.rs
@@ -1,23 +1,23 @@
-//! Everything wrong with a text, together, each with its place and what was expected.
+//! Error reports for a text: all problems together, each with its position.
 
 use std::fmt;
 use std::sync::Arc;
 
 use miette::{Diagnostic, NamedSource, SourceSpan};
 
-/// Something wrong, found by a check that knows only the path of the value.
+/// A problem located by the path of the value, before it is resolved to a line and column.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Keys from the root, joined by dots; list elements by position.
+    /// Keys from the root, joined by dots; list elements by index.
     pub path: String,
-    /// What is wrong, in a sentence.
+    /// Describes the problem in a sentence.
     pub message: String,
-    /// What to do, if that can be said.
+    /// Suggested fix, if there is one.
     pub help: Option<String>,
 }
 
 impl Finding {
-    /// Something wrong at a path.
+    /// Creates a finding without a suggested fix.
     pub fn new(path: impl Into<String>, message: impl Into<String>) -> Self {
         Self {
             path: path.into(),
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Says what to do.
+    /// Adds a suggested fix.
     #[must_use]
     pub fn with_help(mut self, help: impl Into<String>) -> Self {
         self.help = Some(help.into());
@@ -34,18 +34,18 @@
     }
 }
 
-/// One thing wrong at one place.
+/// A problem at one position of the text.
 #[derive(Clone, Debug, thiserror::Error, Diagnostic)]
 #[error("{message}")]
 pub struct Problem {
-    /// What is wrong, in a sentence.
+    /// Describes the problem in a sentence.
     pub message: String,
-    /// What to do, if that can be said.
+    /// Suggested fix, if there is one.
     #[help]
     pub help: Option<String>,
-    /// Line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
     #[source_code]
     pub(crate) source_code: NamedSource<Arc<str>>,
@@ -53,19 +53,19 @@
     pub(crate) span: SourceSpan,
 }
 
-/// All things wrong with one text.
+/// All problems of one text.
 #[derive(Clone, Debug, thiserror::Error, Diagnostic)]
 #[error("{name}: {} {}", problems.len(), if problems.len() == 1 { "problem" } else { "problems" })]
 pub struct Problems {
     /// Name of the file or other origin.
     pub name: String,
-    /// In the order of the text.
+    /// Problems by position in the text.
     #[related]
     pub problems: Vec<Problem>,
 }
 
 impl Problems {
-    /// Problems that concern the text as a whole.
+    /// Creates a single problem that concerns the text as a whole, such as an unreadable file.
     pub fn whole(name: &str, message: impl Into<String>, help: Option<String>) -> Self {
         let source_code = NamedSource::new(name, Arc::from(""));
         Self {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// One line for each problem: file, line, column, what is wrong, what to do.
+    /// Formats one line for each problem: file, line, column, message, suggested fix.
     pub fn to_text(&self) -> String {
         let line = |p: &Problem| {
             let help = p.help.as_ref().map(|h| format!("; {h}"));
@@ -94,7 +94,7 @@
         self.problems.iter().map(line).collect()
     }
 
-    /// The same as JSON, for scripts.
+    /// Formats the problems as a JSON array, for scripts.
     pub fn to_json(&self) -> serde_json::Value {
         let entry = |p: &Problem| {
             serde_json::json!({
@@ -105,7 +105,7 @@
         self.problems.iter().map(entry).collect()
     }
 
-    /// Excerpts of the text with the places marked, for a terminal.
+    /// Formats excerpts of the text with the positions marked, for a terminal.
     pub fn to_report(&self, colour: bool) -> String {
         let theme = if colour {
             miette::GraphicalTheme::unicode()
--- a/src/schema/read.rs
+++ b/src/schema/read.rs
@@ -1,4 +1,5 @@
-//! From YAML text to a typed record, with every problem found on the way.
+//! Reads YAML text into a typed record and collects all problems instead of stopping at the
+//! first.
 
 use std::collections::{HashMap, HashSet};
 use std::path::Path;
@@ -12,21 +13,21 @@
 use super::yaml::{self, MAX_BYTES, Node, Value};
 use super::{Field, Record, Records, Scalar, Texts, Visitor};
 
-/// Most problems shown for one text.
+/// Maximum number of problems reported for one text.
 const MAX_PROBLEMS: usize = 100;
-/// Least likeness (0 to 1) at which a known key is offered for an unknown one.
-const LIKENESS: f64 = 0.6;
-/// Longest piece of the text repeated in a message, in characters.
+/// Minimum similarity (0 to 1) at which a known word is suggested for an unknown one.
+const MIN_SIMILARITY: f64 = 0.6;
+/// Maximum length in characters of a quotation from the text in a message.
 const MAX_QUOTE: usize = 60;
 
-/// Places of the values of one text, by path.
+/// Positions of the values of one text, by path.
 #[derive(Debug, Default)]
 pub(crate) struct Source {
     places: HashMap<String, (Marker, Marker)>,
 }
 
 impl Source {
-    /// Place of the value, or of the nearest one that holds it.
+    /// Returns the start and end of the value, or of the nearest enclosing one in the text.
     fn place(&self, path: &str) -> (Marker, Marker) {
         let mut path = path;
         loop {
@@ -46,7 +47,8 @@
     read_with(name, text, |_| Vec::new())
 }
 
-/// Reads a record and lets `check` look at it, so that all problems are told together.
+/// Reads a record and runs `check` on it, so that syntax errors and semantic errors are
+/// reported together.
 pub fn read_with<T: Record>(
     name: &str,
     text: &str,
@@ -55,7 +57,7 @@
     read_from(name, text, Reader::default(), check)
 }
 
-/// Reads a part of a record, in which any top-level key may be missing.
+/// Reads a partial record, in which any top-level key may be missing.
 pub(crate) fn read_part<T: Record>(name: &str, text: &str) -> Result<T, Problems> {
     let reader = Reader {
         partial: true,
@@ -64,7 +66,7 @@
     read_from(name, text, reader, |_| Vec::new())
 }
 
-/// The keys of the mapping that a text holds; none if it holds no mapping.
+/// Returns the top-level keys of a text; empty if it holds no valid mapping.
 pub fn top_keys(text: &str) -> Vec<String> {
     let root = load_bounded("", text).ok();
     let Some(Value::Map(pairs)) = root.as_ref().map(|root| &root.value) else {
@@ -86,7 +88,7 @@
         Ok(Some(root)) => Ok(root),
         Ok(None) => Err(Problems::whole(name, "the text is empty", None)),
         Err(e) => {
-            let found = Found::at(e.at, e.at, e.message);
+            let found = LocatedProblem::at(e.at, e.at, e.message);
             Err(problems(name, text, vec![found]))
         }
     }
@@ -104,10 +106,11 @@
     let well_formed = reader.found.is_empty();
     let findings = check(&record);
     for finding in findings {
-        // A value that could not be read keeps its default; what follows from that is no news.
+        // A value that could not be read keeps its default. Findings on that default would only
+        // repeat the first error, so they are dropped.
         let place = reader.source.place(&finding.path);
-        if well_formed || !reader.is_doubtful(&finding.path) {
-            reader.found.push(Found {
+        if well_formed || !reader.is_unread(&finding.path) {
+            reader.found.push(LocatedProblem {
                 at: place.0,
                 end: place.1,
                 message: finding.message,
@@ -121,7 +124,7 @@
     Err(problems(name, text, reader.found))
 }
 
-/// Reads a file and then the record in it.
+/// Reads a file and parses its text with `parse`, which gets the file's name and the text.
 pub(crate) fn read_file<T>(
     path: &Path,
     parse: impl FnOnce(&str, &str) -> Result<T, Problems>,
@@ -142,14 +145,15 @@
     parse(&name, &text)
 }
 
-struct Found {
+/// A problem with its position, before the position is converted to a byte range.
+struct LocatedProblem {
     at: Marker,
     end: Marker,
     message: String,
     help: Option<String>,
 }
 
-impl Found {
+impl LocatedProblem {
     fn at(at: Marker, end: Marker, message: impl Into<String>) -> Self {
         Self {
             at,
@@ -160,7 +164,7 @@
     }
 }
 
-fn problems(name: &str, text: &str, mut found: Vec<Found>) -> Problems {
+fn problems(name: &str, text: &str, mut found: Vec<LocatedProblem>) -> Problems {
     found.sort_by_key(|f| (f.at.line(), f.at.col()));
     let left_out = found.len().saturating_sub(MAX_PROBLEMS);
     found.truncate(MAX_PROBLEMS);
@@ -195,27 +199,30 @@
     }
 }
 
-/// Visitor that fills a record from the mapping on top of the stack.
+/// Visitor that fills a record from the innermost mapping on the stack.
 #[derive(Default)]
 struct Reader {
     source: Source,
-    found: Vec<Found>,
-    doubtful: Vec<String>,
+    found: Vec<LocatedProblem>,
+    /// Paths of values that are missing or could not be parsed.
+    unread_paths: Vec<String>,
+    /// Keys from the root to the value being read.
     path: Vec<String>,
     stack: Vec<Frame>,
-    /// Whether keys at the root may be missing.
+    /// Whether required keys at the root may be missing.
     partial: bool,
 }
 
-/// The mapping being read.
+/// A mapping being read.
 struct Frame {
     node: Rc<Node>,
+    /// Keys that the schema allows here; filled as the record visits its fields.
     known: Vec<&'static str>,
 }
 
 impl Reader {
     fn fill(&mut self, node: &Rc<Node>, record: &mut dyn Record) {
-        self.note(node);
+        self.record_place(node);
         if !matches!(node.value, Value::Map(_) | Value::Empty) {
             self.mismatch(node, "a mapping of keys and values");
             return;
@@ -242,7 +249,8 @@
             };
             if !seen.insert(name) {
                 let message = format!("`{}` is given twice", quote(name));
-                self.found.push(Found::at(key.at, key.end, message));
+                self.found
+                    .push(LocatedProblem::at(key.at, key.end, message));
             }
             if !frame.known.contains(&name.as_str()) {
                 self.unknown_key(key, name, &frame.known);
@@ -251,7 +259,8 @@
     }
 
     fn unknown_key(&mut self, key: &Node, name: &str, known: &[&str]) {
-        let mut found = Found::at(key.at, key.end, format!("unknown key `{}`", quote(name)));
+        let mut found =
+            LocatedProblem::at(key.at, key.end, format!("unknown key `{}`", quote(name)));
         found.help = Some(match nearest(name, known.iter().copied()) {
             Some(near) => format!("did you mean `{near}`?"),
             None => format!("known keys here: {}", known.join(", ")),
@@ -259,7 +268,7 @@
         self.found.push(found);
     }
 
-    /// Finds a field's value in the current mapping; tells when a required one is missing.
+    /// Finds a field's value in the current mapping; reports a required field that is missing.
     fn find(&mut self, field: Field) -> Option<Rc<Node>> {
         let frame = self.stack.last_mut()?;
         frame.known.push(field.key);
@@ -274,33 +283,35 @@
         match value {
             Some((key, value)) if matches!(value.value, Value::Empty) && field.required => {
                 let message = format!("`{}` has no value", field.key);
-                self.found.push(Found::at(key.at, key.end, message));
-                self.doubt(field.key);
+                self.found
+                    .push(LocatedProblem::at(key.at, key.end, message));
+                self.mark_unread(field.key);
                 None
             }
             Some((_, value)) => Some(Rc::clone(value)),
             None if field.required && !(self.partial && self.path.is_empty()) => {
                 let message = format!("`{}` is missing: {}", field.key, field.doc);
-                self.found.push(Found::at(node.at, node.at, message));
-                self.doubt(field.key);
+                self.found
+                    .push(LocatedProblem::at(node.at, node.at, message));
+                self.mark_unread(field.key);
                 None
             }
             None => None,
         }
     }
 
-    fn doubt(&mut self, key: &str) {
+    fn mark_unread(&mut self, key: &str) {
         self.path.push(key.to_owned());
-        self.doubtful.push(self.path.join("."));
+        self.unread_paths.push(self.path.join("."));
         self.path.pop();
     }
 
-    fn is_doubtful(&self, path: &str) -> bool {
+    fn is_unread(&self, path: &str) -> bool {
         let within = |d: &String| path.strip_prefix(d.as_str()).is_some_and(starts_path);
-        self.doubtful.iter().any(within)
+        self.unread_paths.iter().any(within)
     }
 
-    fn note(&mut self, node: &Node) {
+    fn record_place(&mut self, node: &Node) {
         let path = self.path.join(".");
         self.source.places.insert(path, (node.at, node.end));
     }
@@ -311,8 +322,9 @@
             other => other.kind().to_owned(),
         };
         let message = format!("expected {expected}, found {got}");
-        self.found.push(Found::at(node.at, node.end, message));
-        self.doubtful.push(self.path.join("."));
+        self.found
+            .push(LocatedProblem::at(node.at, node.end, message));
+        self.unread_paths.push(self.path.join("."));
     }
 
     fn within(&mut self, key: &str, work: impl FnOnce(&mut Self)) {
@@ -322,7 +334,7 @@
     }
 
     fn text_of(&mut self, node: &Node, expected: &str) -> Option<String> {
-        self.note(node);
+        self.record_place(node);
         match &node.value {
             Value::Scalar(text) => Some(text.clone()),
             _ => {
@@ -334,10 +346,10 @@
 
     fn refuse(&mut self, node: &Node, text: &str, why: &str, choices: &[&str]) {
         let message = format!("`{}`: {why}", quote(text));
-        let mut found = Found::at(node.at, node.end, message);
+        let mut found = LocatedProblem::at(node.at, node.end, message);
         found.help = nearest(text, choices.iter().copied()).map(|n| format!("did you mean `{n}`?"));
         self.found.push(found);
-        self.doubtful.push(self.path.join("."));
+        self.unread_paths.push(self.path.join("."));
     }
 }
 
@@ -361,7 +373,7 @@
     fn texts(&mut self, field: Field, slot: &mut dyn Texts) {
         let Some(node) = self.find(field) else { return };
         self.within(field.key, |r| {
-            r.note(&node);
+            r.record_place(&node);
             match &node.value {
                 Value::Empty => {}
                 Value::List(items) => {
@@ -390,7 +402,7 @@
     fn records(&mut self, field: Field, slot: &mut dyn Records) {
         let Some(node) = self.find(field) else { return };
         self.within(field.key, |r| {
-            r.note(&node);
+            r.record_place(&node);
             match &node.value {
                 Value::Empty => {}
                 Value::List(items) if !slot.keyed() => {
@@ -421,11 +433,12 @@
             }
             if !seen.insert(name) {
                 let message = format!("`{}` is given twice", quote(name));
-                self.found.push(Found::at(key.at, key.end, message));
+                self.found
+                    .push(LocatedProblem::at(key.at, key.end, message));
                 continue;
             }
             let value = match &value.value {
-                // Missing keys are told at the name, since an empty value has no place.
+                // Missing keys are reported at the name, since an empty value has no position.
                 Value::Empty => key,
                 _ => value,
             };
@@ -438,7 +451,7 @@
 
     fn fill_value(&mut self, key: &Rc<Node>, value: &Rc<Node>, record: &mut dyn Record) {
         if Rc::ptr_eq(key, value) {
-            let empty = Rc::new(key.emptied());
+            let empty = Rc::new(key.without_value());
             self.fill(&empty, record);
         } else {
             self.fill(value, record);
@@ -450,16 +463,16 @@
     rest.is_empty() || rest.starts_with('.')
 }
 
-/// The known word most like `word`, if one is like enough.
+/// Returns the known word most similar to `word`, if one reaches `MIN_SIMILARITY`.
 pub(crate) fn nearest<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     known
         .map(|k| (strsim::normalized_damerau_levenshtein(word, k), k))
-        .filter(|(likeness, _)| *likeness >= LIKENESS)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, k)| k)
 }
 
-/// A piece of the text, short and on one line.
+/// Escapes a piece of the text onto one line and truncates it to `MAX_QUOTE` characters.
 fn quote(text: &str) -> String {
     let flat = text.escape_debug().to_string();
     if flat.chars().count() <= MAX_QUOTE {
--- a/src/schema/scalars.rs
+++ b/src/schema/scalars.rs
@@ -1,4 +1,4 @@
-//! Scalars: how each is read, written and described.
+//! Scalar types of the schema: parsing, canonical text and description of each.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,17 +7,17 @@
 use compact_str::CompactString;
 
 use super::units::{
-    BYTE_UNITS, CORE_UNITS, MEMORY_UNITS, PERCENT_UNITS, TIME_UNITS, narrow, parse_units,
+    BYTE_UNITS, CORE_UNITS, MEMORY_UNITS, PERCENT_UNITS, TIME_UNITS, parse_units, to_u32,
     write_thousandths, write_units,
 };
 use super::{Scalar, Texts};
 
-/// Longest name in characters.
+/// Maximum length of a name in bytes; names are ASCII.
 const MAX_NAME: usize = 63;
-/// Longest free text in bytes.
+/// Maximum length of a free text in bytes.
 const MAX_TEXT: usize = 4096;
 
-/// Checks a name used as a key.
+/// Checks a name used as a key. Dots are refused because they separate keys in paths.
 pub(crate) fn check_name(text: &str) -> Result<(), String> {
     check_label(text)?;
     if text.contains('.') {
@@ -26,7 +26,7 @@
     Ok(())
 }
 
-/// Checks a name.
+/// Checks a name used as a value, which may contain dots.
 fn check_label(text: &str) -> Result<(), String> {
     let inner = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     let starts = text.starts_with(|c: char| c.is_ascii_alphanumeric());
@@ -40,7 +40,7 @@
     format!("a name of at most {MAX_NAME} letters, digits, `-`, `_` or `.`, such as `bern-a`")
 }
 
-/// A name.
+/// A name; an empty one counts as absent.
 pub struct Name<'a>(pub &'a mut CompactString);
 
 impl Scalar for Name<'_> {
@@ -78,7 +78,7 @@
     }
 }
 
-/// A name that is one part of a value which several fields make together.
+/// A name that is one component of a value assembled from several fields.
 pub struct Part<'a, T> {
     whole: &'a mut T,
     get: fn(&T) -> Option<&CompactString>,
@@ -86,7 +86,8 @@
 }
 
 impl<'a, T> Part<'a, T> {
-    /// Takes how the part is got from the whole and put into it.
+    /// Binds the component to `whole` through a getter and a setter; the setter's error is a
+    /// message for the user.
     pub fn new(
         whole: &'a mut T,
         get: fn(&T) -> Option<&CompactString>,
@@ -111,7 +112,7 @@
     }
 }
 
-/// Free text.
+/// A free text of limited length.
 pub struct Text<'a>(pub &'a mut CompactString);
 
 impl Scalar for Text<'_> {
@@ -132,7 +133,7 @@
     }
 }
 
-/// A span of time in whole milliseconds.
+/// A duration in whole milliseconds.
 pub struct Span<'a>(pub &'a mut Duration);
 
 impl Scalar for Span<'_> {
@@ -150,12 +151,12 @@
     }
 }
 
-/// Memory in megabytes.
+/// An amount of memory in megabytes (10^6 bytes).
 pub struct Megabytes<'a>(pub &'a mut u32);
 
 impl Scalar for Megabytes<'_> {
     fn parse(&mut self, text: &str) -> Result<(), String> {
-        *self.0 = narrow(parse_units(text, MEMORY_UNITS, &self.expected())?)?;
+        *self.0 = to_u32(parse_units(text, MEMORY_UNITS, &self.expected())?)?;
         Ok(())
     }
 
@@ -168,7 +169,7 @@
     }
 }
 
-/// A number of bytes.
+/// A size in bytes, written with decimal or binary units.
 pub struct Bytes<'a>(pub &'a mut u64);
 
 impl Scalar for Bytes<'_> {
@@ -186,12 +187,12 @@
     }
 }
 
-/// Processor cores in thousandths.
+/// A number of processor cores in thousandths of a core.
 pub struct Cores<'a>(pub &'a mut u32);
 
 impl Scalar for Cores<'_> {
     fn parse(&mut self, text: &str) -> Result<(), String> {
-        *self.0 = narrow(parse_units(text, CORE_UNITS, &self.expected())?)?;
+        *self.0 = to_u32(parse_units(text, CORE_UNITS, &self.expected())?)?;
         Ok(())
     }
 
@@ -205,7 +206,7 @@
     }
 }
 
-/// A whole number of percent, 0 to 100.
+/// A whole percentage, 0 to 100.
 pub struct Percent<'a>(pub &'a mut u32);
 
 impl Scalar for Percent<'_> {
@@ -249,7 +250,7 @@
     }
 }
 
-/// A whole number within bounds.
+/// A whole number within inclusive bounds.
 pub struct Count<'a> {
     slot: &'a mut u32,
     least: u32,
@@ -257,7 +258,7 @@
 }
 
 impl<'a> Count<'a> {
-    /// A number from `least` to `most`.
+    /// Binds a number that must lie from `least` to `most`, both included.
     pub fn new(slot: &'a mut u32, least: u32, most: u32) -> Self {
         Self { slot, least, most }
     }
@@ -284,7 +285,7 @@
     }
 }
 
-/// Yes or no.
+/// A boolean, written `true` or `false`.
 pub struct Toggle<'a>(pub &'a mut bool);
 
 impl Scalar for Toggle<'_> {
@@ -310,13 +311,13 @@
     }
 }
 
-/// A type whose values are written as one word each.
+/// An enumeration whose values are each written as one word.
 pub trait Choice: Copy + PartialEq + 'static {
-    /// The words and what they mean.
+    /// Every word with its value.
     const WORDS: &'static [(&'static str, Self)];
 }
 
-/// One of a few words.
+/// A value of an enumeration.
 pub struct Chosen<'a, T: Choice>(pub &'a mut T);
 
 impl<T: Choice> Scalar for Chosen<'_, T> {
@@ -388,7 +389,7 @@
     }
 }
 
-/// Path of a file or folder.
+/// A path of a file or folder; an empty one counts as absent.
 pub struct FilePath<'a>(pub &'a mut PathBuf);
 
 impl Scalar for FilePath<'_> {
@@ -409,7 +410,7 @@
     }
 }
 
-/// Path that may be absent.
+/// A path that may be absent.
 pub struct OptionalPath<'a>(pub &'a mut Option<PathBuf>);
 
 impl Scalar for OptionalPath<'_> {
@@ -426,7 +427,7 @@
     }
 }
 
-/// A list of names, or of records that are no more than a name.
+/// A list of names, or of records whose only field is a name.
 pub struct Names<'a, T> {
     slot: &'a mut Vec<T>,
     make: fn(CompactString) -> T,
@@ -434,7 +435,7 @@
 }
 
 impl<'a, T> Names<'a, T> {
-    /// A list whose elements are made from names and give them back.
+    /// Binds a list; `make` creates an element from a name and `name` returns an element's name.
     pub fn new(
         slot: &'a mut Vec<T>,
         make: fn(CompactString) -> T,
--- a/src/schema/tree.rs
+++ b/src/schema/tree.rs
@@ -1,35 +1,36 @@
-//! A record as a tree of canonical texts: what writing and comparing work on.
+//! A record as a tree of canonical texts, the input for writing and comparing.
 
 use super::{Field, Record, Records, Scalar, Texts, Visitor};
 
-/// Canonical texts by key.
+/// A node of a record's tree of canonical texts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Tree {
-    /// A single value.
+    /// A scalar.
     Scalar(String),
-    /// A list of single values.
+    /// A list of scalars.
     Texts(Vec<String>),
     /// A list of mappings.
     List(Vec<Tree>),
-    /// A mapping, in schema order or by name.
+    /// A mapping: fields in schema order, or records by name.
     Map(Vec<(String, Tree)>),
 }
 
 impl Tree {
-    /// The value under a key of a mapping.
+    /// Returns the value under a key; `None` for a missing key or a node that is no mapping.
     pub fn get(&self, key: &str) -> Option<&Self> {
         let Self::Map(pairs) = self else { return None };
         pairs.iter().find(|(k, _)| k == key).map(|(_, v)| v)
     }
 }
 
-/// Turns a record into its tree, with every default spelled out.
+/// Converts a record to a tree that includes all defaults.
 pub fn to_tree(record: &mut dyn Record) -> Tree {
     let mut builder = Builder { pairs: Vec::new() };
     record.visit(&mut builder);
     Tree::Map(builder.pairs)
 }
 
+/// Visitor that builds the tree of one mapping.
 struct Builder {
     pairs: Vec<(String, Tree)>,
 }
--- a/src/schema/units.rs
+++ b/src/schema/units.rs
@@ -1,6 +1,6 @@
-//! Units and exact arithmetic on amounts written with them.
+//! Units, and exact conversion of amounts written with them; no floating point is involved.
 
-/// A unit's name and its size in the smallest unit of its kind.
+/// A unit's name and its size in the unit that amounts of its kind are stored in.
 pub(super) type Unit = (&'static str, u64);
 
 pub(super) const TIME_UNITS: &[Unit] = &[
@@ -23,7 +23,8 @@
 pub(super) const CORE_UNITS: &[Unit] = &[("cores", 1000), ("core", 1000)];
 pub(super) const PERCENT_UNITS: &[Unit] = &[("%", 1000)];
 
-/// Splits `1.5 GB` into an exact number of the smallest unit.
+/// Parses an amount such as `1.5 GB` into an exact number of the stored unit. An amount that
+/// is no whole number of it is refused rather than rounded.
 pub(super) fn parse_units(text: &str, units: &[Unit], expected: &str) -> Result<u64, String> {
     let wrong = || format!("expected {expected}");
     let text = text.trim();
@@ -66,13 +67,14 @@
     Ok(total)
 }
 
-/// Writes an amount in the largest unit that needs no fraction.
+/// Formats an amount in the largest unit that needs no fraction.
 pub(super) fn write_units(amount: u64, units: &[Unit]) -> String {
     let fits = |u: &&Unit| amount != 0 && amount.is_multiple_of(u.1);
     let (name, size) = units.iter().rev().find(fits).unwrap_or(&units[0]);
     format!("{} {name}", amount / size)
 }
 
+/// Formats thousandths as a decimal number without trailing zeros.
 pub(super) fn write_thousandths(amount: u64) -> String {
     let (whole, part) = (amount / 1000, amount % 1000);
     let fraction = format!("{part:03}");
@@ -82,6 +84,7 @@
     }
 }
 
-pub(super) fn narrow(amount: u64) -> Result<u32, String> {
+/// Converts an amount to `u32`; the error is a message for the user.
+pub(super) fn to_u32(amount: u64) -> Result<u32, String> {
     u32::try_from(amount).map_err(|_| "this is too large".to_owned())
 }
--- a/src/schema/write.rs
+++ b/src/schema/write.rs
@@ -1,14 +1,14 @@
-//! Canonical YAML of a record: schema order, canonical units, defaults left out.
+//! Writes a record as canonical YAML: schema order, canonical units, defaults omitted.
 
 use std::fmt::Write;
 
 use super::tree::{Tree, to_tree};
 use super::{Field, Record, Records, Scalar, Texts, Visitor};
 
-/// Spaces by which each level is set in.
+/// Spaces of indentation per nesting level.
 const INDENT: usize = 2;
 
-/// Leaves out every optional value that equals its default.
+/// Converts a record to a tree without the optional values that equal their defaults.
 pub fn prune(record: &mut dyn Record) -> Tree {
     let defaults = to_tree(&mut *record.blank());
     let mut pruner = Pruner {
@@ -19,6 +19,7 @@
     Tree::Map(pruner.pairs)
 }
 
+/// Visitor that builds the tree of one mapping and omits defaults.
 struct Pruner {
     defaults: Tree,
     pairs: Vec<(String, Tree)>,
@@ -68,7 +69,8 @@
     }
 }
 
-/// A nested record's defaults are those its holder gives it.
+/// Prunes a nested record against the defaults that its parent sets, which may differ from the
+/// record type's own; those apply only when the parent has none.
 fn prune_against(record: &mut dyn Record, defaults: Option<&Tree>) -> Tree {
     let blank = || to_tree(&mut *record.blank());
     let defaults = defaults.cloned().unwrap_or_else(blank);
@@ -80,7 +82,7 @@
     Tree::Map(pruner.pairs)
 }
 
-/// Writes a tree as YAML.
+/// Formats a tree as YAML; empty unless the root is a mapping.
 pub fn to_yaml(tree: &Tree) -> String {
     let mut out = String::new();
     if let Tree::Map(pairs) = tree {
@@ -121,7 +123,7 @@
     }
 }
 
-/// Writes a list element: its mapping, with the first key after the dash.
+/// Writes a list element that is a mapping, with the first key after the dash.
 fn write_item(out: &mut String, item: &Tree, depth: usize) {
     let Tree::Map(pairs) = item else { return };
     let mut inner = String::new();
@@ -131,7 +133,7 @@
     let _ = write!(out, "{pad}- {rest}");
 }
 
-/// A scalar as it stands, or in double quotes where YAML would read something else.
+/// Formats a scalar as it is, or in double quotes where YAML would parse it differently.
 fn scalar(text: &str) -> String {
     let starts = text.starts_with(|c: char| c.is_ascii_alphanumeric() || c == '/');
     let inner = |c: char| c.is_ascii_alphanumeric() || " ._/%+-".contains(c);
--- a/src/schema/yaml.rs
+++ b/src/schema/yaml.rs
@@ -1,30 +1,33 @@
-//! YAML text to a tree of nodes with their places, within stated bounds.
+//! Parses YAML text into a tree of nodes with their positions, within fixed limits on size and
+//! nesting.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 
 use saphyr_parser::{Event, Marker, Parser, ScalarStyle, ScanError};
 
-/// Largest text in bytes.
+/// Maximum size of a text in bytes.
 pub const MAX_BYTES: usize = 1024 * 1024;
-/// Deepest nesting of mappings and lists.
+/// Maximum nesting depth of mappings and lists.
 pub const MAX_DEPTH: usize = 16;
-/// Most values, counting those behind an alias each time they are used.
+/// Maximum number of values; the values behind an alias count each time it is used.
 pub const MAX_NODES: usize = 200_000;
 
-/// A value with its place.
+/// A value with its position in the text.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) at: Marker,
     pub(crate) end: Marker,
     pub(crate) value: Value,
+    /// Number of values in this subtree, with aliases expanded.
     size: usize,
+    /// Levels of mappings and lists in this subtree; 0 for a scalar.
     depth: usize,
 }
 
 #[derive(Debug)]
 pub(crate) enum Value {
-    /// No value was given.
+    /// A key without a value, or an unquoted `null` or `~`.
     Empty,
     Scalar(String),
     List(Vec<Rc<Node>>),
@@ -42,14 +45,14 @@
     }
 }
 
-/// Why a text is no tree.
+/// An error in the YAML syntax or a limit exceeded, with its position.
 #[derive(Debug)]
-pub(crate) struct Malformed {
+pub(crate) struct YamlError {
     pub(crate) at: Marker,
     pub(crate) message: String,
 }
 
-impl From<ScanError> for Malformed {
+impl From<ScanError> for YamlError {
     fn from(e: ScanError) -> Self {
         Self {
             at: *e.marker(),
@@ -58,34 +61,36 @@
     }
 }
 
-/// A mapping or list whose end has not been read.
-struct Open {
+/// A mapping or list whose end event has not been read yet.
+struct OpenCollection {
     at: Marker,
     anchor: usize,
     map: bool,
+    /// List elements, or alternating keys and values of a mapping.
     children: Vec<Rc<Node>>,
 }
 
 #[derive(Default)]
 struct Loader {
-    open: Vec<Open>,
+    open: Vec<OpenCollection>,
     anchors: HashMap<usize, Rc<Node>>,
+    /// Values so far, with aliases expanded.
     nodes: usize,
     root: Option<Rc<Node>>,
 }
 
-/// Reads the one YAML document of a text.
-pub(crate) fn load(text: &str) -> Result<Option<Rc<Node>>, Malformed> {
+/// Parses a text with one YAML document; `None` if the text is empty.
+pub(crate) fn load(text: &str) -> Result<Option<Rc<Node>>, YamlError> {
     let mut loader = Loader::default();
     for event in Parser::new_from_str(text) {
         let (event, span) = event?;
-        loader.take(event, span.start, span.end)?;
+        loader.handle_event(event, span.start, span.end)?;
     }
     Ok(loader.root)
 }
 
 impl Loader {
-    fn take(&mut self, event: Event<'_>, at: Marker, end: Marker) -> Result<(), Malformed> {
+    fn handle_event(&mut self, event: Event<'_>, at: Marker, end: Marker) -> Result<(), YamlError> {
         match event {
             Event::Scalar(text, style, anchor, _) => {
                 let plain = matches!(style, ScalarStyle::Plain);
@@ -95,16 +100,16 @@
                 } else {
                     Value::Scalar(text.into_owned())
                 };
-                self.close(at, end, anchor, value, 1, 0)
+                self.add_new(at, end, anchor, value, 1, 0)
             }
             Event::Alias(id) => match self.anchors.get(&id).cloned() {
-                Some(node) => self.add(node, at),
-                None => Err(refuse(at, "this alias refers to itself")),
+                Some(node) => self.add_alias(node, at),
+                None => Err(error_at(at, "this alias refers to itself")),
             },
-            Event::SequenceStart(anchor, _) => self.begin(at, anchor, false),
-            Event::MappingStart(anchor, _) => self.begin(at, anchor, true),
-            Event::SequenceEnd | Event::MappingEnd => self.finish(end),
-            Event::DocumentStart(_) if self.root.is_some() => Err(refuse(
+            Event::SequenceStart(anchor, _) => self.begin_collection(at, anchor, false),
+            Event::MappingStart(anchor, _) => self.begin_collection(at, anchor, true),
+            Event::SequenceEnd | Event::MappingEnd => self.end_collection(end),
+            Event::DocumentStart(_) if self.root.is_some() => Err(error_at(
                 at,
                 "a second YAML document begins here; one is expected",
             )),
@@ -112,12 +117,12 @@
         }
     }
 
-    fn begin(&mut self, at: Marker, anchor: usize, map: bool) -> Result<(), Malformed> {
+    fn begin_collection(&mut self, at: Marker, anchor: usize, map: bool) -> Result<(), YamlError> {
         if self.open.len() == MAX_DEPTH {
             let message = format!("this is nested deeper than {MAX_DEPTH} levels");
-            return Err(refuse(at, message));
+            return Err(error_at(at, message));
         }
-        self.open.push(Open {
+        self.open.push(OpenCollection {
             at,
             anchor,
             map,
@@ -126,7 +131,7 @@
         Ok(())
     }
 
-    fn finish(&mut self, end: Marker) -> Result<(), Malformed> {
+    fn end_collection(&mut self, end: Marker) -> Result<(), YamlError> {
         let Some(open) = self.open.pop() else {
             return Ok(());
         };
@@ -142,10 +147,10 @@
         } else {
             Value::List(open.children)
         };
-        self.close(open.at, end, open.anchor, value, size, depth)
+        self.add_new(open.at, end, open.anchor, value, size, depth)
     }
 
-    fn close(
+    fn add_new(
         &mut self,
         at: Marker,
         end: Marker,
@@ -153,7 +158,7 @@
         value: Value,
         size: usize,
         depth: usize,
-    ) -> Result<(), Malformed> {
+    ) -> Result<(), YamlError> {
         let node = Rc::new(Node {
             at,
             end,
@@ -164,26 +169,27 @@
         if anchor != 0 {
             self.anchors.insert(anchor, Rc::clone(&node));
         }
-        // The parts of a mapping or list were counted when they closed.
+        // The children of a mapping or list have been counted already, each when it ended.
         self.nodes += 1;
         self.attach(node, at)
     }
 
-    fn add(&mut self, node: Rc<Node>, at: Marker) -> Result<(), Malformed> {
-        // An alias to a list of aliases grows tenfold a line. Counting what stands behind each
-        // alias stops that before anything walks the tree.
+    fn add_alias(&mut self, node: Rc<Node>, at: Marker) -> Result<(), YamlError> {
+        // Nested aliases grow exponentially: a list of ten aliases to such a list is ten times
+        // as large with each line. Counting the expanded size at each alias refuses such a text
+        // before anything walks the tree.
         self.nodes = self.nodes.saturating_add(node.size);
         if self.open.len() + node.depth > MAX_DEPTH {
             let message = format!("this is nested deeper than {MAX_DEPTH} levels");
-            return Err(refuse(at, message));
+            return Err(error_at(at, message));
         }
         self.attach(node, at)
     }
 
-    fn attach(&mut self, node: Rc<Node>, at: Marker) -> Result<(), Malformed> {
+    fn attach(&mut self, node: Rc<Node>, at: Marker) -> Result<(), YamlError> {
         if self.nodes > MAX_NODES {
             let message = format!("there are more than {MAX_NODES} values up to here");
-            return Err(refuse(at, message));
+            return Err(error_at(at, message));
         }
         match self.open.last_mut() {
             Some(open) => open.children.push(node),
@@ -193,16 +199,16 @@
     }
 }
 
-fn refuse(at: Marker, message: impl Into<String>) -> Malformed {
-    Malformed {
+fn error_at(at: Marker, message: impl Into<String>) -> YamlError {
+    YamlError {
         at,
         message: message.into(),
     }
 }
 
 impl Node {
-    /// A node at the same place without a value.
-    pub(crate) fn emptied(&self) -> Self {
+    /// Returns a node at the same position without a value.
+    pub(crate) fn without_value(&self) -> Self {
         Self {
             at: self.at,
             end: self.end,
