--- a/src/document/diff.rs
+++ b/src/document/diff.rs
@@ -1,4 +1,4 @@
-//! What changes between two documents, and what the cell will do about it.
+//! Compares two documents: the changed values and their effects on the cell.
 
 use std::fmt::Write;
 
@@ -8,34 +8,34 @@
 use super::model::Document;
 use crate::schema::{Tree, prune, to_tree, to_yaml};
 
-/// Keys that tell the elements of a list apart.
+/// Keys whose values together identify an element of a list.
 const IDENTITY_KEYS: &[&str] = &["name", "prefix", "worker", "zone", "rack"];
 
-/// One change.
+/// A change of one value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "change", rename_all = "lowercase")]
 pub enum Change {
-    /// Something is there that was not.
+    /// The value exists only in the new document.
     Added {
-        /// Keys from the root; elements of lists by what tells them apart.
+        /// Keys from the root; list elements by their identifying values, in brackets.
         path: String,
-        /// As YAML.
+        /// The value as YAML, without defaults.
         value: String,
     },
-    /// Something is gone.
+    /// The value exists only in the old document.
     Removed {
         /// Keys from the root.
         path: String,
-        /// As YAML.
+        /// The value as YAML, without defaults.
         value: String,
     },
-    /// A value is another.
+    /// The value differs, or the order of a list does.
     Changed {
         /// Keys from the root.
         path: String,
-        /// Value before.
+        /// Canonical text in the old document.
         old: String,
-        /// Value after.
+        /// Canonical text in the new document.
         new: String,
     },
 }
@@ -43,19 +43,19 @@
 /// All changes between two documents.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Diff {
-    /// In the order of the schema.
+    /// Changes in schema order.
     pub changes: Vec<Change>,
-    /// What the cell will do, a sentence each.
+    /// Actions that the cell takes once the new document is applied, a sentence each.
     pub effects: Vec<String>,
 }
 
 impl Diff {
-    /// Whether the documents say the same.
+    /// Returns true if the documents are equal, defaults included.
     pub fn is_empty(&self) -> bool {
         self.changes.is_empty()
     }
 
-    /// A page for people.
+    /// Formats the diff for a terminal.
     pub fn to_text(&self) -> String {
         if self.is_empty() {
             return "no difference\n".to_owned();
@@ -95,27 +95,29 @@
 
 /// Compares two documents.
 pub fn diff(old: &Document, new: &Document) -> Diff {
-    let side = |d: &Document| Side {
+    let trees = |d: &Document| ValueTrees {
         full: to_tree(&mut d.clone()),
-        short: Some(prune(&mut d.clone())),
+        pruned: Some(prune(&mut d.clone())),
     };
     let mut changes = Vec::new();
-    compare("", &side(old), &side(new), &mut changes);
+    compare("", &trees(old), &trees(new), &mut changes);
     Diff {
         changes,
         effects: effects(old, new),
     }
 }
 
-/// A tree with every default, and the same without them for showing whole parts.
-struct Side {
+/// A value of one of the documents.
+struct ValueTrees {
+    /// With all defaults, for comparing.
     full: Tree,
-    short: Option<Tree>,
+    /// Without defaults, for printing; `None` for a value that equals its default.
+    pruned: Option<Tree>,
 }
 
-impl Side {
+impl ValueTrees {
     fn text(&self) -> String {
-        match self.short.as_ref().unwrap_or(&self.full) {
+        match self.pruned.as_ref().unwrap_or(&self.full) {
             Tree::Scalar(text) => text.clone(),
             Tree::Texts(items) => format!("[{}]", items.join(", ")),
             Tree::List(items) => format!("{} elements", items.len()),
@@ -123,38 +125,39 @@
         }
     }
 
-    /// The parts by key, or by what tells list elements apart.
-    fn parts(&self) -> Option<Vec<(String, Self)>> {
+    /// Returns the children by key, or by `identity` for list elements; `None` for a leaf.
+    fn children(&self) -> Option<Vec<(String, Self)>> {
         match &self.full {
             Tree::Map(pairs) => {
-                let part = |(key, full): &(String, Tree)| {
-                    let short = self.short.as_ref().and_then(|s| s.get(key));
-                    (key.clone(), Self::new(full, short))
+                let child_trees = |(key, full): &(String, Tree)| {
+                    let pruned = self.pruned.as_ref().and_then(|s| s.get(key));
+                    (key.clone(), Self::new(full, pruned))
                 };
-                Some(pairs.iter().map(part).collect())
+                Some(pairs.iter().map(child_trees).collect())
             }
             Tree::List(items) => {
-                let part = |(i, full): (usize, &Tree)| {
-                    let short = match &self.short {
+                let child_trees = |(i, full): (usize, &Tree)| {
+                    let pruned = match &self.pruned {
                         Some(Tree::List(items)) => items.get(i),
                         _ => None,
                     };
-                    (identity(full), Self::new(full, short))
+                    (identity(full), Self::new(full, pruned))
                 };
-                Some(items.iter().enumerate().map(part).collect())
+                Some(items.iter().enumerate().map(child_trees).collect())
             }
             Tree::Scalar(_) | Tree::Texts(_) => None,
         }
     }
 
-    fn new(full: &Tree, short: Option<&Tree>) -> Self {
+    fn new(full: &Tree, pruned: Option<&Tree>) -> Self {
         Self {
             full: full.clone(),
-            short: short.cloned(),
+            pruned: pruned.cloned(),
         }
     }
 }
 
+/// Joins the identifying values of a list element.
 fn identity(element: &Tree) -> String {
     let named = IDENTITY_KEYS
         .iter()
@@ -165,11 +168,11 @@
     named.collect::<Vec<_>>().join(" ")
 }
 
-fn compare(path: &str, old: &Side, new: &Side, changes: &mut Vec<Change>) {
+fn compare(path: &str, old: &ValueTrees, new: &ValueTrees, changes: &mut Vec<Change>) {
     if old.full == new.full {
         return;
     }
-    let (Some(before), Some(after)) = (old.parts(), new.parts()) else {
+    let (Some(before), Some(after)) = (old.children(), new.children()) else {
         changes.push(Change::Changed {
             path: path.to_owned(),
             old: old.text(),
@@ -183,7 +186,7 @@
         (_, true) => format!("{path}[{key}]"),
         (_, false) => format!("{path}.{key}"),
     };
-    let earlier = changes.len();
+    let count_before = changes.len();
     for (key, was) in &before {
         match after.iter().find(|(k, _)| k == key) {
             Some((_, is)) => compare(&child(key), was, is, changes),
@@ -201,7 +204,7 @@
             });
         }
     }
-    if list && changes.len() == earlier {
+    if list && changes.len() == count_before {
         changes.push(Change::Changed {
             path: path.to_owned(),
             old: "in another order".to_owned(),
--- a/src/document/effects.rs
+++ b/src/document/effects.rs
@@ -1,10 +1,10 @@
-//! What the cell will do when one document takes the place of another, in plain sentences.
+//! Describes the actions that the cell takes when one document replaces another.
 
 use super::model::{Document, JobKind, Workload};
 use super::validate::target_name;
 use crate::workload::WorkClass;
 
-/// Works out the effects, each a sentence that starts with a verb.
+/// Lists the effects, each a sentence that starts with a verb.
 pub(super) fn effects(old: &Document, new: &Document) -> Vec<String> {
     let mut out = Vec::new();
     workloads(old, new, &mut out);
@@ -47,16 +47,16 @@
     let Some(kind) = new.kinds.get(&after.kind) else {
         return;
     };
-    let same_form = kind_before.is_some_and(|k| runs_alike(k, kind))
+    let same_spec = kind_before.is_some_and(|k| needs_no_restart(k, kind))
         && before.kind == after.kind
         && before.payload == after.payload;
-    let endless = matches!(kind.class, WorkClass::Service | WorkClass::Watcher);
-    if !same_form && !endless {
+    let long_running = matches!(kind.class, WorkClass::Service | WorkClass::Watcher);
+    if !same_spec && !long_running {
         out.push(format!(
             "cancel `{name}` unless it has ended; its changed form starts only if nothing of the \
              old one runs"
         ));
-    } else if !same_form {
+    } else if !same_spec {
         out.push(format!(
             "stop {} of `{name}`, then start {} in their changed form",
             tasks(before.tasks),
@@ -71,9 +71,9 @@
     }
 }
 
-/// Whether running tasks can stay as they are.
-fn runs_alike(a: &JobKind, b: &JobKind) -> bool {
-    // The number of tasks of a submission says nothing about declared ones.
+/// Returns true if running tasks need no restart when their kind changes from `a` to `b`.
+fn needs_no_restart(a: &JobKind, b: &JobKind) -> bool {
+    // `tasks` is only the default of submitted jobs; a workload declares its own number.
     let a = JobKind {
         tasks: b.tasks,
         ..a.clone()
--- a/src/document/mod.rs
+++ b/src/document/mod.rs
@@ -1,4 +1,4 @@
-//! The one validated document that describes the whole desired state of a cell.
+//! The validated YAML document that declares the desired state of a cell.
 
 mod diff;
 mod effects;
@@ -22,17 +22,17 @@
 
 pub use crate::schema::{Finding, Problem, Problems};
 
-/// Reads and checks a document. `name` is the file's name, for messages.
+/// Parses and validates a document. `name` is the file's name in error messages.
 pub fn parse(name: &str, text: &str) -> Result<Document, Problems> {
     crate::schema::read_with(name, text, validate)
 }
 
-/// Reads and checks the document in a file.
+/// Reads a file and parses and validates the document in it.
 pub fn load(path: &Path) -> Result<Document, Problems> {
     crate::schema::read_file(path, parse)
 }
 
-/// Writes a document as canonical YAML; reading it gives the same document.
+/// Formats a document as canonical YAML; parsing it gives an equal document.
 pub fn render(document: &Document) -> String {
     crate::schema::to_yaml(&crate::schema::prune(&mut document.clone()))
 }
--- a/src/document/model.rs
+++ b/src/document/model.rs
@@ -1,4 +1,4 @@
-//! The document as typed values, after parsing and validation.
+//! The document as typed values.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,195 +11,196 @@
 use crate::resources::Resources;
 use crate::workload::{Band, MemberLoss, Spread, WorkClass};
 
-/// A span from now, or none.
+/// Time from now until something is due; `None` for no deadline.
 pub type Deadline = Option<Duration>;
 
-/// The whole desired state of a cell.
+/// Desired state of a cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Version of the document format.
+    /// Version of the document format; must equal [`FORMAT`](super::FORMAT).
     pub format: u32,
-    /// Name of the cell.
+    /// Name of the cell; hosts of one cell share one document.
     pub cell: CellName,
-    /// Region the cell lives in.
+    /// Region in which the cell runs.
     pub region: compact_str::CompactString,
-    /// Availability zones.
+    /// Availability zones of the cell; at least one.
     pub zones: Vec<Zone>,
-    /// Teams with quotas.
+    /// Teams that own services and job kinds, with their quotas.
     pub teams: BTreeMap<TeamName, Team>,
-    /// Services whose requests go to minions.
+    /// Services whose requests are forwarded to minions.
     pub services: BTreeMap<ServiceName, Service>,
-    /// Path prefixes that lead to services besides `/v1/services/{service}`.
+    /// Path prefixes routed to services, in addition to `/v1/services/{service}`.
     pub routes: Vec<Route>,
-    /// Job kinds.
+    /// Templates for jobs, by name.
     pub kinds: BTreeMap<KindName, JobKind>,
-    /// Long-running services and watchers kept on workers, and declared batch jobs.
+    /// Long-running services and watchers kept running on workers, and declared batch jobs.
     pub workloads: BTreeMap<compact_str::CompactString, Workload>,
-    /// Service-level objectives.
+    /// Service-level objectives, each with an error budget.
     pub objectives: Vec<Objective>,
-    /// Placement weights and limits.
+    /// Placement weights, leases and retention of idempotency keys.
     pub policy: Policy,
-    /// Capacity that is to be emptied.
+    /// Workers, racks or zones to be drained.
     pub drains: Vec<Drain>,
 }
 
 /// An availability zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Zone {
-    /// Its name.
+    /// Name that job kinds, drains and hosts refer to.
     pub name: ZoneName,
 }
 
 /// A team with its quota.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Team {
-    /// Guaranteed share; more may be borrowed while others leave it unused.
+    /// Guaranteed resources; a team may borrow more while other teams leave theirs unused.
     pub quota: Resources,
-    /// Weight among teams that borrow.
+    /// Weight of the team when several teams borrow unused resources.
     pub weight: u32,
-    /// Limits on the team's quick requests.
+    /// Limits on requests to the team's services.
     pub limits: Limits,
 }
 
-/// Limits on quick requests.
+/// Limits on requests to services, as opposed to jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Requests a second over the whole cell; 0 for no limit.
+    /// Requests per second over the whole cell; 0 for no limit.
     pub requests_per_second: u32,
-    /// Requests in work at once over the whole cell; 0 for no limit.
+    /// Concurrent requests over the whole cell; 0 for no limit.
     pub concurrent: u32,
 }
 
-/// Order in which queued quick requests are served.
+/// Order in which queued requests to services are served.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub enum QueuePriority {
-    /// Served last.
+    /// Served after all others.
     Low,
-    /// Ordinary.
+    /// The default.
     #[default]
     Normal,
-    /// A customer is watching.
+    /// Served first; for requests that a customer is waiting for.
     High,
 }
 
 /// A service whose requests are answered by minions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Team that is charged.
+    /// Team whose quota and limits the requests count against.
     pub team: TeamName,
-    /// Time in which an answer is due when the caller states none.
+    /// Deadline of a request that states none.
     pub deadline: Duration,
-    /// Whether requests may run twice unless a caller says otherwise.
+    /// Whether a request may run twice unless its caller states otherwise.
     pub idempotent: bool,
-    /// Order in the queue.
+    /// Priority in the queue of an entry host.
     pub priority: QueuePriority,
-    /// Requests that may wait at one entry host.
+    /// Maximum number of requests queued at one entry host.
     pub queue: u32,
-    /// Requests a minion works on at once when it states none.
+    /// Concurrent requests to a minion that announces no limit of its own.
     pub slots: u32,
-    /// Connections to one minion.
+    /// Maximum number of connections to one minion.
     pub connections: u32,
-    /// Largest request or answer body in bytes.
+    /// Maximum size of a request or response body in bytes.
     pub body_limit: u64,
-    /// Retries allowed per hundred requests.
+    /// Retry budget: retries allowed per hundred requests.
     pub retry_percent: u32,
-    /// Percentile of service time after which an idempotent request is hedged; 0 for never.
+    /// Percentile of the service time after which an idempotent request is hedged; 0 disables
+    /// hedging.
     pub hedge_percentile: u32,
 }
 
-/// A path prefix that leads to a service.
+/// A path prefix routed to a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// Prefix, starting with `/`.
+    /// Prefix, starting with `/` and outside `/v1`.
     pub prefix: compact_str::CompactString,
-    /// Service behind it.
+    /// Service that gets the requests.
     pub service: ServiceName,
 }
 
-/// A kind of job; submitted jobs name one.
+/// A template for jobs, named by submitted jobs and workloads.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobKind {
-    /// Team that is charged.
+    /// Team whose quota the tasks count against.
     pub team: TeamName,
-    /// How the tasks live and start.
+    /// Execution model: batch, gang, service or watcher.
     pub class: WorkClass,
-    /// Priority band.
+    /// Priority band of the tasks in placement.
     pub band: Band,
-    /// Tasks when a submission states none.
+    /// Number of tasks of a submission that states none.
     pub tasks: u32,
-    /// Declared need of one task.
+    /// Resources that one task reserves.
     pub need: Resources,
-    /// Accelerator type required.
+    /// Accelerator type that a worker must have; `None` if the tasks need no particular one.
     pub accelerator: Option<AcceleratorName>,
-    /// Declared run time of one task.
+    /// Expected run time of one task; zero for services and watchers.
     pub run_time: Duration,
-    /// Whether a task that may have run can be started again.
+    /// Whether a task that may have run already can be started again.
     pub idempotent: bool,
-    /// Whether a task can be checkpointed.
+    /// Whether a task can save a checkpoint before it is stopped.
     pub checkpoint: bool,
-    /// Starts allowed for one task.
+    /// Maximum number of starts of one task.
     pub max_attempts: u32,
-    /// Failure domain to spread over.
+    /// Failure domain over which the tasks are spread.
     pub spread: Spread,
-    /// Availability zones allowed; all when empty.
+    /// Availability zones in which tasks may run; all when empty.
     pub zones: Vec<ZoneName>,
-    /// Rule for a gang that loses a worker.
+    /// Handling of a gang that loses a worker.
     pub on_member_loss: MemberLoss,
-    /// Tasks that may be away at once during an update or drain.
+    /// Maximum number of tasks down at once during an update or drain.
     pub max_unavailable: u32,
 }
 
-/// A job kept by declaration instead of submission.
+/// A job declared in the document instead of submitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workload {
-    /// Its kind.
+    /// Template of the job.
     pub kind: KindName,
-    /// Number of tasks.
+    /// Number of tasks to run; the default of the kind doesn't apply.
     pub tasks: u32,
-    /// Opaque text handed to the worker.
+    /// Text passed to the worker unchanged.
     pub payload: compact_str::CompactString,
 }
 
-/// What an objective speaks of.
+/// Events that an objective counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ObjectiveTarget {
-    /// Requests to a service: answered within the time.
+    /// Requests to a service; good when answered within the time.
     Service(ServiceName),
-    /// Tasks of a job kind: started within the time.
+    /// Tasks of a job kind; good when started within the time.
     Kind(KindName),
 }
 
 /// A service-level objective.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Objective {
-    /// Its name.
+    /// Name in reports; unique in the document.
     pub name: compact_str::CompactString,
-    /// What it speaks of.
+    /// Events that the objective counts.
     pub target: ObjectiveTarget,
     /// Time within which an answer or a start counts as good.
     pub within: Duration,
-    /// Share of good events wanted, in thousandths of a percent (99.9% is 99,900).
+    /// Required share of good events in thousandths of a percent (99.9% is 99,900).
     pub millipercent: u32,
-    /// Span over which the error budget is counted.
+    /// Sliding window of the error budget.
     pub window: Duration,
 }
 
-/// Placement weights and limits.
+/// Cell-wide settings of placement, worker leases and idempotency keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Policy {
-    /// Weight of short waiting against tight packing, 0 to 100.
+    /// Weight of short waiting times (100) against tight packing (0).
     pub waiting_weight: u32,
-    /// Times one task may be preempted.
+    /// Maximum number of preemptions of one task.
     pub preemption_limit: u32,
-    /// Different jobs that must fail on a worker before it is quarantined.
+    /// Number of different jobs that must fail on a worker before it is quarantined.
     pub quarantine_failures: u32,
-    /// Time after which a quarantined worker gets one task as a trial.
+    /// Time after which a quarantined worker gets a single task as a trial.
     pub quarantine_trial: Duration,
-    /// Time a worker's lease runs from the moment it asked.
+    /// Duration of a worker's lease, counted from when the worker asked for it.
     pub lease: Duration,
-    /// Time for which idempotency keys are kept after their answer.
+    /// Time for which an idempotency key is kept after its answer.
     pub key_retention: Duration,
 }
 
@@ -216,21 +217,21 @@
     }
 }
 
-/// Capacity that is to be emptied.
+/// A request to move all tasks off part of the cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
-    /// What is emptied.
+    /// Workers to drain.
     pub target: DrainTarget,
-    /// Time its tasks have to finish or checkpoint before they are stopped.
+    /// Time for the tasks to finish or save a checkpoint before they are stopped.
     pub within: Duration,
 }
 
-/// What a drain empties.
+/// The workers that a drain applies to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum DrainTarget {
-    /// One worker.
+    /// A single worker.
     Worker(WorkerId),
-    /// All workers of a rack, by availability zone and rack.
+    /// All workers of a rack, given by availability zone and rack name.
     Rack(ZoneName, RackName),
     /// All workers of an availability zone.
     Zone(ZoneName),
--- a/src/document/parts.rs
+++ b/src/document/parts.rs
@@ -1,4 +1,4 @@
-//! One document kept in several files.
+//! Loads a document that is split over several files.
 
 use std::path::PathBuf;
 
@@ -6,10 +6,10 @@
 use super::{parse, render};
 use crate::schema::{Problems, Record, read_file, read_part};
 
-/// Reads the parts of one document and puts them together.
+/// Reads the files of one document, merges them and validates the result.
 ///
-/// Each part may hold any of the top-level keys. What is wrong within a part is told with the
-/// part's place; what is wrong with the whole, with the place in the whole as it is rendered.
+/// Each file may hold any of the top-level keys. A syntax error is reported at its position in
+/// the file; an error of the merged document, at its position in the rendered document.
 pub fn load_parts(paths: &[PathBuf], name: &str) -> Result<Document, Problems> {
     let mut whole = Document::initial();
     for path in paths {
@@ -22,17 +22,17 @@
     parse(&format!("{name} (all files together)"), &render(&whole))
 }
 
-/// Adds a part, or says what both hold.
+/// Merges a part into the whole. The error is the key that both define.
 fn merge(whole: &mut Document, part: Document) -> Result<(), String> {
     let blank = Document::initial();
-    single(&mut whole.format, part.format, &blank.format, "format")?;
-    single(&mut whole.cell, part.cell, &blank.cell, "cell")?;
-    single(&mut whole.region, part.region, &blank.region, "region")?;
-    single(&mut whole.policy, part.policy, &blank.policy, "policy")?;
-    named(&mut whole.teams, part.teams, "teams")?;
-    named(&mut whole.services, part.services, "services")?;
-    named(&mut whole.kinds, part.kinds, "kinds")?;
-    named(&mut whole.workloads, part.workloads, "workloads")?;
+    merge_value(&mut whole.format, part.format, &blank.format, "format")?;
+    merge_value(&mut whole.cell, part.cell, &blank.cell, "cell")?;
+    merge_value(&mut whole.region, part.region, &blank.region, "region")?;
+    merge_value(&mut whole.policy, part.policy, &blank.policy, "policy")?;
+    merge_map(&mut whole.teams, part.teams, "teams")?;
+    merge_map(&mut whole.services, part.services, "services")?;
+    merge_map(&mut whole.kinds, part.kinds, "kinds")?;
+    merge_map(&mut whole.workloads, part.workloads, "workloads")?;
     whole.zones.extend(part.zones);
     whole.routes.extend(part.routes);
     whole.objectives.extend(part.objectives);
@@ -40,7 +40,7 @@
     Ok(())
 }
 
-fn single<T: PartialEq>(whole: &mut T, part: T, blank: &T, key: &str) -> Result<(), String> {
+fn merge_value<T: PartialEq>(whole: &mut T, part: T, blank: &T, key: &str) -> Result<(), String> {
     if part == *blank || part == *whole {
         return Ok(());
     }
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-fn named<T>(
+fn merge_map<T>(
     whole: &mut std::collections::BTreeMap<compact_str::CompactString, T>,
     part: std::collections::BTreeMap<compact_str::CompactString, T>,
     key: &str,
--- a/src/document/reference.rs
+++ b/src/document/reference.rs
@@ -1,10 +1,10 @@
-//! The reference page of the document format, made from the schema.
+//! Generates the reference page of the document format from the schema.
 
 use super::model::Document;
 use super::schema::FORMAT;
 use crate::schema::{MAX_BYTES, MAX_DEPTH, MAX_NODES, Record, describe};
 
-/// The whole of docs/DOCUMENT.md.
+/// Returns the content of docs/DOCUMENT.md.
 pub fn reference() -> String {
     let mut document = Document::initial();
     let fields = describe("The document", &mut document);
--- a/src/document/schema.rs
+++ b/src/document/schema.rs
@@ -1,4 +1,4 @@
-//! The fields of the document: the one list that reading, writing, forms and docs walk.
+//! Lists the fields of the document for the schema framework, with defaults and descriptions.
 
 use std::time::Duration;
 
@@ -15,15 +15,16 @@
 };
 use crate::workload::{Band, MemberLoss, Spread, WorkClass};
 
-/// Version of the document format that this program writes and reads.
+/// Version of the document format that this program reads and writes; all others are refused.
 pub const FORMAT: u32 = 1;
 
-/// Largest number of tasks in one job.
+/// Maximum number of tasks in one job.
 const MAX_TASKS: u32 = 100_000;
-/// Largest count where nothing smaller is sensible.
+/// Upper bound of counts that need no tighter one.
 const MAX_COUNT: u32 = 1_000_000;
 
-/// Gives a record type its `initial` and `blank`.
+/// Implements `Record` from an expression for the initial value and a body that visits the
+/// fields.
 macro_rules! record {
     ($type:ty, $initial:expr, |$record:ident, $v:ident| $body:block) => {
         impl Record for $type {
--- a/src/document/validate.rs
+++ b/src/document/validate.rs
@@ -1,4 +1,5 @@
-//! References and contradictions of a document, found together.
+//! Validates references between the parts of a document and values that contradict each other;
+//! all findings are collected.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,17 +14,17 @@
 use crate::schema::Finding;
 use crate::workload::{MemberLoss, WorkClass};
 
-/// Shortest and longest worker lease: shorter ones lapse on an ordinary pause, longer ones keep
-/// a lost worker's tasks waiting.
+/// Minimum and maximum worker lease. A shorter one would expire during an ordinary process pause;
+/// a longer one would delay the restart of a lost worker's tasks.
 const LEASE_BOUNDS: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(300));
-/// Shortest time idempotency keys are kept: a caller's resends come well within it.
-const LEAST_KEY_RETENTION: Duration = Duration::from_secs(60);
-/// Largest body that an entry host holds whole.
+/// Minimum retention of idempotency keys. Callers resend requests well within it.
+const MIN_KEY_RETENTION: Duration = Duration::from_secs(60);
+/// Maximum body size in bytes; an entry host buffers whole bodies in memory.
 const MAX_BODY: u64 = 8 * 1024 * 1024;
-/// Prefix under which the system answers itself.
-const OWN_PREFIX: &str = "/v1";
+/// Path prefix of the system's own API, which routes must not overlap.
+const RESERVED_PREFIX: &str = "/v1";
 
-/// Checks everything that one value alone does not show.
+/// Checks the rules that involve more than one value, and those that the field types don't check.
 pub fn validate(d: &Document) -> Vec<Finding> {
     let mut c = Checker {
         document: d,
@@ -55,7 +56,7 @@
 }
 
 impl Checker<'_> {
-    fn find(&mut self, path: impl Into<String>, message: impl Into<String>) {
+    fn add_finding(&mut self, path: impl Into<String>, message: impl Into<String>) {
         self.findings.push(Finding::new(path, message));
     }
 
@@ -71,7 +72,10 @@
         }
         let help = match crate::schema::nearest(name, known.clone().map(CompactString::as_str)) {
             Some(near) => format!("did you mean `{near}`?"),
-            None => format!("declare it, or name one that is declared ({})", some(known)),
+            None => format!(
+                "declare it, or name one that is declared ({})",
+                join_first(known)
+            ),
         };
         let message = format!("no {what} `{name}` is declared");
         self.findings
@@ -92,7 +96,7 @@
 
     fn zones(&mut self) {
         if self.document.zones.is_empty() {
-            self.find("zones", "a cell has at least one availability zone");
+            self.add_finding("zones", "a cell has at least one availability zone");
         }
         let names = self.document.zones.iter().map(|z| z.name.clone());
         self.duplicates("zones", "", "availability zone", names);
@@ -109,7 +113,7 @@
         for (i, name) in names.enumerate() {
             if !seen.insert(name.clone()) {
                 let message = format!("{what} `{name}` is given twice");
-                self.find(format!("{path}.{i}{key}"), message);
+                self.add_finding(format!("{path}.{i}{key}"), message);
             }
         }
     }
@@ -120,7 +124,7 @@
             .clone()
             .try_fold(Resources::ZERO, |sum, q| sum.checked_add(&q));
         if total.is_none() {
-            self.find("teams", "the quotas together are more than can be counted");
+            self.add_finding("teams", "the quotas together are more than can be counted");
         }
     }
 
@@ -134,22 +138,22 @@
         self.team(&format!("{path}.team"), &s.team);
         if s.deadline.is_zero() {
             let message = "a deadline of nothing refuses every request";
-            self.find(format!("{path}.deadline"), message);
+            self.add_finding(format!("{path}.deadline"), message);
         }
         if s.slots > s.connections {
             let message = format!(
                 "{} slots can't be used over {} connections, which carry one request each",
                 s.slots, s.connections
             );
-            self.find(format!("{path}.slots"), message);
+            self.add_finding(format!("{path}.slots"), message);
         }
         if s.body_limit > MAX_BODY {
             let message = format!("bodies are held whole; {MAX_BODY} bytes is the most");
-            self.find(format!("{path}.body_limit"), message);
+            self.add_finding(format!("{path}.body_limit"), message);
         }
         if s.hedge_percentile > 0 && !s.idempotent {
             let message = "hedging runs a request twice, so the service must be `idempotent: true`";
-            self.find(format!("{path}.hedge_percentile"), message);
+            self.add_finding(format!("{path}.hedge_percentile"), message);
         }
     }
 
@@ -174,9 +178,9 @@
                 "`{}` is no path prefix such as `/checks`",
                 prefix.escape_debug()
             );
-            self.find(path, message);
-        } else if prefix == OWN_PREFIX || prefix.starts_with("/v1/") {
-            self.find(path, "prefixes under `/v1` are the system's own");
+            self.add_finding(path, message);
+        } else if prefix == RESERVED_PREFIX || prefix.starts_with("/v1/") {
+            self.add_finding(path, "prefixes under `/v1` are the system's own");
         }
     }
 
@@ -195,35 +199,35 @@
     fn kind_need(&mut self, path: &str, k: &JobKind) {
         if k.need.millicores == 0 || k.need.memory_mb == 0 {
             let message = "a task needs some of a core and some memory";
-            self.find(format!("{path}.need"), message);
+            self.add_finding(format!("{path}.need"), message);
         }
         if k.need.checked_mul(k.tasks).is_none() {
             let message = "the tasks together need more than can be counted";
-            self.find(format!("{path}.tasks"), message);
+            self.add_finding(format!("{path}.tasks"), message);
         }
         if k.accelerator.is_some() && k.need.accelerators == 0 {
             let message = "an accelerator type is required but `need.accelerators` is 0";
-            self.find(format!("{path}.accelerator"), message);
+            self.add_finding(format!("{path}.accelerator"), message);
         }
     }
 
     fn kind_class(&mut self, path: &str, k: &JobKind) {
-        let endless = matches!(k.class, WorkClass::Service | WorkClass::Watcher);
-        if endless && !k.run_time.is_zero() {
+        let long_running = matches!(k.class, WorkClass::Service | WorkClass::Watcher);
+        if long_running && !k.run_time.is_zero() {
             let message = "services and watchers run without end, so they have no run time";
-            self.find(format!("{path}.run_time"), message);
+            self.add_finding(format!("{path}.run_time"), message);
         }
-        if !endless && k.run_time.is_zero() {
+        if !long_running && k.run_time.is_zero() {
             let message = "batch jobs and gangs state a `run_time` over zero";
-            self.find(format!("{path}.run_time"), message);
+            self.add_finding(format!("{path}.run_time"), message);
         }
         if k.class == WorkClass::Service && k.max_unavailable == 0 {
             let message = "a service of which no task may be away can never be drained or updated";
-            self.find(format!("{path}.max_unavailable"), message);
+            self.add_finding(format!("{path}.max_unavailable"), message);
         }
         if k.class != WorkClass::Gang && k.on_member_loss != MemberLoss::default() {
             let message = "only a gang has a rule for the loss of a member";
-            self.find(format!("{path}.on_member_loss"), message);
+            self.add_finding(format!("{path}.on_member_loss"), message);
         }
         let restarts = k.on_member_loss != MemberLoss::Fail;
         if k.class == WorkClass::Gang && restarts && !k.idempotent {
@@ -247,7 +251,7 @@
         let d = self.document;
         match &o.target {
             ObjectiveTarget::Service(name) if name.is_empty() => {
-                self.find(
+                self.add_finding(
                     path,
                     "an objective names the `service` or the `kind` it speaks of",
                 );
@@ -259,7 +263,7 @@
                 if due.is_some_and(|due| o.within > due) {
                     let message =
                         "no answer comes later than the service's `deadline`, which is shorter";
-                    self.find(format!("{path}.within"), message);
+                    self.add_finding(format!("{path}.within"), message);
                 }
             }
             ObjectiveTarget::Kind(name) => {
@@ -268,25 +272,25 @@
             }
         }
         if o.within.is_zero() {
-            self.find(format!("{path}.within"), "nothing happens within no time");
+            self.add_finding(format!("{path}.within"), "nothing happens within no time");
         }
         if o.millipercent == 0 || o.millipercent >= 100_000 {
             let message = "a target lies between 0 % and 100 %, so that there is an error budget";
-            self.find(format!("{path}.target"), message);
+            self.add_finding(format!("{path}.target"), message);
         }
         if o.window < Duration::from_secs(3600) {
-            self.find(format!("{path}.window"), "a window is at least `1 h`");
+            self.add_finding(format!("{path}.window"), "a window is at least `1 h`");
         }
     }
 
     fn policy(&mut self, p: &Policy) {
         let (least, most) = LEASE_BOUNDS;
         if p.lease < least || p.lease > most {
-            self.find("policy.lease", "a lease lies between `1 s` and `5 min`");
+            self.add_finding("policy.lease", "a lease lies between `1 s` and `5 min`");
         }
-        if p.key_retention < LEAST_KEY_RETENTION {
+        if p.key_retention < MIN_KEY_RETENTION {
             let message = "keys are kept for `1 min` at least, so that resends find them";
-            self.find("policy.key_retention", message);
+            self.add_finding("policy.key_retention", message);
         }
     }
 
@@ -303,7 +307,7 @@
         };
         let zones = &self.document.zones;
         if !zones.is_empty() && zones.iter().all(|z| drained(&z.name)) {
-            self.find(
+            self.add_finding(
                 "drains",
                 "with every availability zone drained nothing can run",
             );
@@ -314,7 +318,7 @@
         let zones = self.document.zones.iter().map(|z| &z.name);
         match &drain.target {
             DrainTarget::Worker(name) if name.is_empty() => {
-                self.find(
+                self.add_finding(
                     path,
                     "a drain names a `worker`, a `zone`, or a `rack` in a `zone`",
                 );
@@ -328,7 +332,7 @@
     }
 }
 
-/// A drain's target in a few words.
+/// Formats a drain's target for messages.
 pub(crate) fn target_name(target: &DrainTarget) -> String {
     match target {
         DrainTarget::Worker(name) => format!("worker {name}"),
@@ -337,8 +341,8 @@
     }
 }
 
-/// The first few names of many.
-fn some<'k>(names: impl Iterator<Item = &'k CompactString> + Clone) -> String {
+/// Joins the first few names for a help text.
+fn join_first<'k>(names: impl Iterator<Item = &'k CompactString> + Clone) -> String {
     const SHOWN: usize = 8;
     let total = names.clone().count();
     let mut text = names
--- a/tests/document.rs
+++ b/tests/document.rs
@@ -1,4 +1,4 @@
-//! The document: reading, refusing, writing.
+//! Tests parsing, validation, rendering and comparison of documents.
 
 use std::path::Path;
 
@@ -23,7 +23,7 @@
     assert_eq!(document::render(&again), text);
 }
 
-/// Every file of tests/cases/documents with the whole message it is refused with.
+/// Snapshot of the full error message for every file in `tests/cases/documents`.
 #[test]
 fn bad_documents_are_refused_with_all_problems() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/cases/documents");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn the_reference_page_is_true() {
+fn the_reference_page_is_up_to_date() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/DOCUMENT.md");
     if std::env::var_os("UPDATE_DOCS").is_some() {
         std::fs::write(&path, document::reference()).unwrap();
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Properties of the readers of documents and settings, from fixed seeds.
+//! Property tests of the parsers of documents and settings, with a fixed seed.
 
 use std::time::Duration;
 
@@ -153,7 +153,7 @@
         let _ = settings::parse_control("random", &text);
     }
 
-    /// Half-written and mangled files give problems with a place inside the text.
+    /// Truncated and corrupted files are parsed or give problems at a position inside the text.
     #[test]
     fn a_mangled_example_is_read_or_refused(
         example in 0..EXAMPLES.len(),
