--- a/src/slo/html.rs
+++ b/src/slo/html.rs
@@ -1,4 +1,4 @@
-//! The burn report as one HTML file with plots, readable without colour and without scripts.
+//! Formats the burn report as one HTML file with plots, legible without colour and scripts.
 
 use std::time::{Duration, SystemTime};
 
@@ -11,12 +11,12 @@
 use crate::ids::Timestamp;
 use crate::plot::{LinePlot, Series, page};
 
-/// Writes the report as a whole HTML page.
+/// Formats the report as a complete HTML page.
 pub fn render_html(report: &BurnReport) -> Result<String> {
     Ok(page("Service-level burn", &render_body(report)?))
 }
 
-/// Writes the report as a part of a page.
+/// Formats the report as a fragment, for a page with its own head and heading.
 pub fn render_body(report: &BurnReport) -> Result<Markup> {
     let sections: Vec<Markup> = report
         .objectives
@@ -24,7 +24,7 @@
         .map(section)
         .collect::<Result<_>>()?;
     Ok(html! {
-        p { "At " (moment(report.at)) " (UTC)." }
+        p { "At " (format_time(report.at)) " (UTC)." }
         @if report.objectives.is_empty() {
             p { "The document declares no objectives." }
         }
@@ -32,8 +32,8 @@
     })
 }
 
-/// A point in time since the Unix epoch as people write it.
-fn moment(at: Timestamp) -> String {
+/// Formats a time since the Unix epoch as RFC 3339.
+fn format_time(at: Timestamp) -> String {
     humantime::format_rfc3339_seconds(SystemTime::UNIX_EPOCH + at).to_string()
 }
 
@@ -46,14 +46,14 @@
         @for alert in &report.alerts {
             p.alert role="alert" { strong { "Alert. " } (alert_text(alert)) }
         }
-        (figures(report))
+        (summary_table(report))
         (PreEscaped(budget))
         (PreEscaped(events))
         @if !report.burners.is_empty() { (burners(report)) }
     })
 }
 
-fn figures(report: &ObjectiveReport) -> Markup {
+fn summary_table(report: &ObjectiveReport) -> Markup {
     html! {
         table {
             tr { th { "events" } td { (report.counts.total()) } }
@@ -87,8 +87,8 @@
     }
 }
 
-/// The unit in which a window's time axis reads well, with its length.
-fn axis(window: Duration) -> (&'static str, f64) {
+/// Chooses the unit of the time time_unit for a window; returns its name and its length in seconds.
+fn time_unit(window: Duration) -> (&'static str, f64) {
     const DAY: f64 = 86_400.0;
     const HOUR: f64 = 3_600.0;
     match window.as_secs_f64() {
@@ -98,9 +98,10 @@
     }
 }
 
-/// Points of a value over the window, with x as time before now.
+/// Returns the x time_unit label and the points of a value over the window. X is the time relative to
+/// the newest bucket, so it is zero or negative.
 fn points(report: &ObjectiveReport, y: impl FnMut(&Counts) -> f64) -> (String, Vec<(f64, f64)>) {
-    let (unit, length) = axis(report.objective.window);
+    let (unit, length) = time_unit(report.objective.window);
     let end = report
         .series
         .last()
@@ -111,7 +112,7 @@
     (format!("{unit} from now"), xs.zip(ys).collect())
 }
 
-/// The budget left as the window's events came in.
+/// Plots the remaining budget over the window.
 fn budget_plot(report: &ObjectiveReport) -> LinePlot {
     let total = report.counts.total() as f64;
     let allowed = total * (1.0 - f64::from(report.objective.millipercent) / 100_000.0);
--- a/src/slo/mod.rs
+++ b/src/slo/mod.rs
@@ -1,9 +1,8 @@
-//! Service-level burn: error budgets of the document's objectives, how fast they burn, and what
-//! burned them.
+//! Service-level objectives: error budgets, burn rates, alerts, and what burned each budget.
 //!
-//! A daemon that sees events counts them in a [`Tally`] and hands on a [`BurnDelta`] now and
-//! then. Control adds the deltas to a [`Burn`], which is part of its replicated state: it is
-//! serializable, its size depends only on the number of objectives, and it has no clock.
+//! A daemon counts events in a [`Tally`] and sends a [`BurnDelta`] to control at intervals. Control
+//! adds the deltas to a [`Burn`], which is part of its replicated state: it is serializable, its
+//! size depends only on the number of objectives, and it reads no clock.
 
 mod alert;
 mod burn;
--- a/src/slo/report.rs
+++ b/src/slo/report.rs
@@ -1,4 +1,4 @@
-//! The burn report as a table and as JSON.
+//! Formats the burn report as a text table and as JSON.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 use crate::error::{Error, Result, Step};
 use crate::ids::Timestamp;
 
-/// State of every objective at one moment.
+/// State of every objective at one point in time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BurnReport {
-    /// The moment, as Unix time.
+    /// Time of the report, as Unix time.
     pub at: Timestamp,
-    /// Objectives by name.
+    /// Objectives, sorted by name.
     pub objectives: Vec<ObjectiveReport>,
 }
 
-/// Writes the report as a table for people.
+/// Formats the report as a table for a terminal, followed by alerts and burners.
 pub fn render_table(report: &BurnReport) -> String {
     if report.objectives.is_empty() {
         return "the document declares no objectives\n".to_owned();
@@ -38,14 +38,14 @@
         .map(str::to_owned),
     ];
     rows.extend(report.objectives.iter().map(row));
-    let mut out = aligned(&rows);
+    let mut out = format_columns(&rows);
     for objective in &report.objectives {
         write_details(&mut out, objective);
     }
     out
 }
 
-/// Writes the report as JSON; spans and times are in seconds and nanoseconds.
+/// Formats the report as JSON; durations and times are objects of seconds and nanoseconds.
 pub fn render_json(report: &BurnReport) -> Result<String> {
     serde_json::to_string_pretty(report)
         .map_err(|e| Error::caused(Step::Codec, "encoding the burn report", e))
@@ -65,7 +65,7 @@
     ]
 }
 
-/// The goal in words, such as `99.9% in 250ms over 30d`.
+/// Formats the goal, such as `99.9% in 250ms over 30d`.
 pub(crate) fn goal(report: &ObjectiveReport) -> String {
     let objective = &report.objective;
     format!(
@@ -76,7 +76,7 @@
     )
 }
 
-/// The burn rates in words, such as `5m 2.0, 1h 1.1`.
+/// Formats the burn rates, such as `5m 2.0, 1h 1.1`.
 pub(crate) fn rates(report: &ObjectiveReport) -> String {
     let rate = |rate: Option<f64>| rate.map_or("-".to_owned(), |rate| format!("{rate:.1}"));
     let shown = report.rates.iter();
@@ -86,7 +86,7 @@
     shown.join(", ")
 }
 
-/// An alert in words.
+/// Describes an alert in one line.
 pub(crate) fn alert_text(alert: &Alert) -> String {
     let name = match alert.severity {
         Severity::Page => "page",
@@ -106,7 +106,7 @@
     value.map_or("-".to_owned(), |value| format!("{value:.places$}%"))
 }
 
-/// A span in its largest whole unit.
+/// Formats a duration in the largest unit of which it is a whole multiple.
 pub(crate) fn span(span: Duration) -> String {
     const UNITS: [(u128, &str); 5] = [
         (86_400_000, "d"),
@@ -143,7 +143,8 @@
     }
 }
 
-fn aligned<const N: usize>(rows: &[[String; N]]) -> String {
+/// Formats rows as left-format_columns columns.
+fn format_columns<const N: usize>(rows: &[[String; N]]) -> String {
     let width = |column: usize| rows.iter().map(|row| row[column].len()).max().unwrap_or(0);
     let widths: [usize; N] = std::array::from_fn(width);
     let mut out = String::new();
--- a/src/slo/tally.rs
+++ b/src/slo/tally.rs
@@ -1,4 +1,4 @@
-//! Events as daemons see them, counted per objective until they are handed on.
+//! Counts the events seen by a daemon per objective until they are sent to control.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use super::ring::Counts;
 use crate::document::{Objective, ObjectiveTarget};
 
-/// Values of one dimension that are told apart between two hand-overs; more are counted in the
-/// totals only.
-const VALUES_KEPT: usize = 64;
+/// Maximum number of values of one dimension counted separately in one delta. Events of further
+/// values count only in the totals.
+const MAX_VALUES: usize = 64;
 
-/// What a budget's loss is broken down by.
+/// A property by which burned events are broken down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Dimension {
@@ -28,7 +28,7 @@
 }
 
 impl Dimension {
-    /// The brief's word for it.
+    /// Returns the name shown in reports, in which `Host` is a minion.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Zone => "zone",
@@ -39,7 +39,7 @@
     }
 }
 
-/// Where an event arose; an empty text means not known.
+/// Origin of an event; an empty field means unknown.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Dimensions {
     /// Availability zone.
@@ -53,7 +53,7 @@
 }
 
 impl Dimensions {
-    fn each(self) -> [(Dimension, CompactString); 4] {
+    fn into_pairs(self) -> [(Dimension, CompactString); 4] {
         [
             (Dimension::Zone, self.zone),
             (Dimension::Host, self.host),
@@ -63,54 +63,54 @@
     }
 }
 
-/// How a request or a start came out.
+/// Outcome of a request or of the start of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered or started after this time; good when within the objective's.
+    /// Answered or started after this time; good if that is within the objective's limit.
     Took(Duration),
     /// Refused, failed or too late to matter.
     Failed,
-    /// It may have run.
+    /// The request or task may or may not have run.
     Unknown,
 }
 
-/// One request or start.
+/// A request to a service or the start of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// What the objective speaks of.
+    /// Service or job kind; matched against the targets of the objectives.
     pub target: ObjectiveTarget,
-    /// How it came out.
+    /// Outcome, classified by each objective's time limit.
     pub outcome: Outcome,
-    /// Where it arose.
+    /// Origin, recorded only if the event is not good.
     pub dimensions: Dimensions,
 }
 
-/// Counts of one objective since the last hand-over.
+/// Counts of one objective since the last delta.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectiveDelta {
-    /// Events by outcome.
+    /// Numbers of events by outcome.
     pub counts: Counts,
-    /// Events that were not good, by where they arose.
+    /// Numbers of events that were not good, by origin.
     pub burned_by: BTreeMap<(Dimension, CompactString), u64>,
 }
 
-/// Counts of all objectives since the last hand-over, by the objective's name.
+/// Counts of all objectives since the last delta, by the objective's name.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BurnDelta(pub BTreeMap<CompactString, ObjectiveDelta>);
 
 impl BurnDelta {
-    /// Says whether there is nothing to hand on.
+    /// Returns true if no event was counted.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Adds another delta's counts to this one's.
+    /// Adds the counts of another delta.
     pub fn merge(&mut self, other: Self) {
         for (name, delta) in other.0 {
             let mine = self.0.entry(name).or_default();
             mine.counts.add(&delta.counts);
-            for (place, n) in delta.burned_by {
-                *mine.burned_by.entry(place).or_default() += n;
+            for (key, n) in delta.burned_by {
+                *mine.burned_by.entry(key).or_default() += n;
             }
         }
     }
@@ -124,12 +124,12 @@
 }
 
 impl Tally {
-    /// Counts against these objectives from now on; what was counted is kept.
+    /// Replaces the objectives for later events; counts so far are kept.
     pub fn set_objectives(&mut self, objectives: &[Objective]) {
         self.objectives = objectives.to_vec();
     }
 
-    /// Counts an event. One event may count for several objectives.
+    /// Counts an event for every objective with its target.
     pub fn record(&mut self, event: Event) {
         let Event {
             target,
@@ -141,12 +141,12 @@
             let delta = self.delta.0.entry(objective.name.clone()).or_default();
             delta.counts.add(&counts);
             if counts.good == 0 {
-                note(delta, dimensions.clone());
+                attribute(delta, dimensions.clone());
             }
         }
     }
 
-    /// Hands over what was counted and begins anew.
+    /// Returns the counts and resets them.
     pub fn take(&mut self) -> BurnDelta {
         std::mem::take(&mut self.delta)
     }
@@ -160,15 +160,15 @@
     }
 }
 
-fn note(delta: &mut ObjectiveDelta, dimensions: Dimensions) {
-    for (dimension, value) in dimensions.each() {
+fn attribute(delta: &mut ObjectiveDelta, dimensions: Dimensions) {
+    for (dimension, value) in dimensions.into_pairs() {
         if value.is_empty() {
             continue;
         }
         let kept = delta.burned_by.keys().filter(|(d, _)| *d == dimension);
-        let place = (dimension, value);
-        if delta.burned_by.contains_key(&place) || kept.count() < VALUES_KEPT {
-            *delta.burned_by.entry(place).or_default() += 1;
+        let key = (dimension, value);
+        if delta.burned_by.contains_key(&key) || kept.count() < MAX_VALUES {
+            *delta.burned_by.entry(key).or_default() += 1;
         }
     }
 }
--- a/tests/slo.rs
+++ b/tests/slo.rs
@@ -1,4 +1,4 @@
-//! Service-level burn: budgets, alerts, what burned them, and how they are shown.
+//! Tests error budgets, burn-rate alerts, the breakdown of burned events, and reports.
 
 use std::time::Duration;
 
@@ -36,8 +36,8 @@
     }
 }
 
-/// Requests a minute, of which some take too long on minion m7.
-fn minute(burn: &mut Burn, now: Duration, good: u32, late: u32) {
+/// Adds one minute of requests: `good` ones on minion m1 and `late` ones on minion m7.
+fn add_minute(burn: &mut Burn, now: Duration, good: u32, late: u32) {
     let mut tally = Tally::default();
     tally.set_objectives(&[quick_checks()]);
     for _ in 0..good {
@@ -53,13 +53,13 @@
     let mut burn = Burn::default();
     burn.set_objectives(&[quick_checks()]);
     for n in 0..minutes {
-        minute(&mut burn, START + MINUTE * n, good, late);
+        add_minute(&mut burn, START + MINUTE * n, good, late);
     }
     (burn, START + MINUTE * minutes)
 }
 
 #[rstest]
-// 99.9% allows one in a thousand; the page rules begin at 14.4 times that.
+// 99.9% allows one bad event in a thousand; the fastest page rule fires at 14.4 times that.
 #[case::nothing_late(120, 1000, 0, &[])]
 #[case::within_budget(120, 999, 1, &[])]
 #[case::ten_times(120, 990, 10, &[Severity::Page, Severity::Ticket])]
@@ -81,20 +81,20 @@
 }
 
 #[test]
-fn one_late_request_at_night_wakes_nobody() {
+fn one_late_request_in_little_traffic_raises_no_alert() {
     let (mut burn, now) = burn_over(60, 1, 0);
-    minute(&mut burn, now, 0, 1);
+    add_minute(&mut burn, now, 0, 1);
     assert!(burn.report(now).objectives[0].alerts.is_empty());
 }
 
 #[test]
 fn a_page_ends_soon_after_its_cause() {
-    // An hour of loss has ended. The long span still shows it for an hour; the short span is
-    // clean after minutes, so nobody is called for what has passed.
+    // After an hour of loss the long span still contains it for an hour, but the short span has
+    // no loss after a few minutes, so the page must end.
     let (mut burn, now) = burn_over(60, 900, 100);
     assert!(!burn.report(now).objectives[0].alerts.is_empty());
     for n in 0..40 {
-        minute(&mut burn, now + MINUTE * n, 1000, 0);
+        add_minute(&mut burn, now + MINUTE * n, 1000, 0);
     }
     let later = &burn.report(now + MINUTE * 40).objectives[0];
     let pages = later.alerts.iter().filter(|a| a.severity == Severity::Page);
@@ -132,8 +132,8 @@
 
 #[test]
 fn burn_survives_a_restart_and_stays_small() {
-    // Callers make up hosts and teams for a month. The state is written into every snapshot,
-    // so it must not grow with them, and must come back the same.
+    // Callers send arbitrary host names for a month. The state is part of every snapshot, so it
+    // must not grow with the number of names, and must survive encoding and decoding unchanged.
     let mut burn = Burn::default();
     burn.set_objectives(&[quick_checks()]);
     let mut tally = Tally::default();
