--- a/src/bin/control.rs
+++ b/src/bin/control.rs
@@ -1,4 +1,4 @@
-//! The control daemon: one replica of the cell's state.
+//! The control daemon, one replica of the cell's state.
 
 use std::process::ExitCode as ProcessExitCode;
 
--- a/src/bin/entry.rs
+++ b/src/bin/entry.rs
@@ -1,4 +1,4 @@
-//! The traffic daemon of an entry host.
+//! The daemon of an entry host, which forwards requests to minions.
 
 use std::process::ExitCode as ProcessExitCode;
 
--- a/src/daemon/args.rs
+++ b/src/daemon/args.rs
@@ -1,4 +1,4 @@
-//! The command line of a daemon.
+//! Parses the command line of a daemon.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -8,44 +8,44 @@
 use crate::replication::Formation;
 use crate::telemetry::LogFormat;
 
-/// A daemon's name and what it says of itself.
+/// Constant properties of a daemon's program.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
-    /// Name of the binary.
+    /// Name of the binary, used in messages, log lines and `--version`.
     pub name: &'static str,
-    /// The whole text of `--help`.
+    /// Complete output of `--help`.
     pub help: &'static str,
-    /// Whether it takes the options that form a group of replicas.
+    /// Whether the program accepts the options that create a replication group.
     pub forms_groups: bool,
 }
 
-/// A daemon's command line.
+/// Arguments for running a daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DaemonArgs {
-    /// Settings file.
+    /// Path of the YAML settings file.
     pub settings: PathBuf,
-    /// Form of the log.
+    /// Format of log lines.
     pub log_format: LogFormat,
-    /// Least level logged.
+    /// Least severe level that is logged.
     pub level: Level,
-    /// What a replica does about its group.
+    /// How a replica joins or creates its replication group; `Join` for other daemons.
     pub formation: Formation,
 }
 
-/// What the command line asks for.
+/// Action requested by the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked {
-    /// Run.
+pub enum Action {
+    /// Run the daemon.
     Run(DaemonArgs),
-    /// Print this and end.
+    /// Print this text and exit.
     Print(String),
 }
 
-/// Reads a command line without the program's name; an error is one sentence for the user.
+/// Parses the arguments after the program's name. The error is a message for the user.
 pub fn parse_args(
     program: &Program,
     args: impl IntoIterator<Item = impl Into<OsString>>,
-) -> Result<Asked, String> {
+) -> Result<Action, String> {
     use lexopt::prelude::{Long, Short, Value, ValueExt};
     let mut parser = lexopt::Parser::from_args(args);
     let mut settings: Option<PathBuf> = None;
@@ -57,8 +57,8 @@
     };
     while let Some(arg) = parser.next().map_err(|e| e.to_string())? {
         match arg {
-            Short('h') | Long("help") => return Ok(Asked::Print(program.help.to_owned())),
-            Short('V') | Long("version") => return Ok(Asked::Print(version(program))),
+            Short('h') | Long("help") => return Ok(Action::Print(program.help.to_owned())),
+            Short('V') | Long("version") => return Ok(Action::Print(version(program))),
             Long("log-format") => parsed.log_format = log_format(&mut parser)?,
             Long("log-level") => {
                 let text = parser.value().and_then(|v| v.string());
@@ -76,7 +76,7 @@
         }
     }
     parsed.settings = settings.ok_or("name a settings file; see --help")?;
-    Ok(Asked::Run(parsed))
+    Ok(Action::Run(parsed))
 }
 
 fn version(program: &Program) -> String {
--- a/src/daemon/mod.rs
+++ b/src/daemon/mod.rs
@@ -1,7 +1,7 @@
-//! What both daemons share: the command line, the logger, the runtime, and signals.
+//! Code shared by the daemons: command line, logger, runtime and signal handling.
 
 mod args;
 mod run;
 
-pub use args::{Asked, DaemonArgs, Program, parse_args};
+pub use args::{Action, DaemonArgs, Program, parse_args};
 pub use run::{fail, prepare, run, stop_signals};
--- a/src/daemon/run.rs
+++ b/src/daemon/run.rs
@@ -1,4 +1,4 @@
-//! The process around a daemon: arguments, logger, runtime, signals, exit code.
+//! Runs a daemon's process: arguments, logger, runtime, signals, exit code.
 
 use std::future::Future;
 use std::path::Path;
@@ -7,15 +7,16 @@
 use slog::{Logger, crit, info};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-use super::args::{Asked, DaemonArgs, Program, parse_args};
+use super::args::{Action, DaemonArgs, Program, parse_args};
 use crate::exit_codes::ExitCode;
 use crate::schema::Problems;
 use crate::telemetry;
 use crate::wire::CellKeys;
 
-/// Runs a daemon's body on a runtime of its own and gives the process's exit code.
+/// Runs a daemon's body on a new runtime and returns the process's exit code.
 ///
-/// The body ends after a planned stop; a second signal while it stops ends the process at once.
+/// The body returns after a graceful stop. It should wait for [`stop_signals`], which exits the
+/// process on a second signal.
 pub fn run<F>(
     program: &'static Program,
     body: impl FnOnce(DaemonArgs, Logger) -> F,
@@ -24,8 +25,8 @@
     F: Future<Output = ExitCode>,
 {
     let args = match parse_args(program, std::env::args_os().skip(1)) {
-        Ok(Asked::Run(args)) => args,
-        Ok(Asked::Print(text)) => {
+        Ok(Action::Run(args)) => args,
+        Ok(Action::Print(text)) => {
             print!("{text}");
             return ExitCode::Success.into();
         }
@@ -49,13 +50,14 @@
     code.into()
 }
 
-/// Logs an error and gives the code to end with.
+/// Logs a fatal error and returns `code`.
 pub fn fail(log: &Logger, e: &crate::Error, code: ExitCode) -> ExitCode {
     crit!(log, "the daemon cannot run"; "step" => %e.step, "peer" => e.peer.as_deref(), "error" => %e);
     code
 }
 
-/// Takes a daemon's settings and its cell key, or says on standard error why it cannot start.
+/// Unwraps a daemon's settings and loads its cell key. Problems in the settings are printed to
+/// standard error, an unreadable key is logged.
 pub fn prepare<T>(
     loaded: Result<T, Problems>,
     cell_key: impl Fn(&T) -> &Path,
@@ -69,22 +71,22 @@
     Ok((cfg, keys))
 }
 
-/// Waits for the first TERM or INT. From then on a second one ends the process at once.
+/// Waits for the first SIGTERM or SIGINT. A second one then exits the process immediately.
 pub async fn stop_signals(log: &Logger) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    either(&mut terminate, &mut interrupt).await;
+    either_signal(&mut terminate, &mut interrupt).await;
     info!(log, "planned stop; a second signal ends at once");
     let log = log.clone();
     tokio::spawn(async move {
-        either(&mut terminate, &mut interrupt).await;
+        either_signal(&mut terminate, &mut interrupt).await;
         info!(log, "ended at once by a second signal");
         std::process::exit(ExitCode::Interrupted as i32);
     });
     Ok(())
 }
 
-async fn either(a: &mut Signal, b: &mut Signal) {
+async fn either_signal(a: &mut Signal, b: &mut Signal) {
     tokio::select! {
         _ = a.recv() => {}
         _ = b.recv() => {}
--- a/src/plot/lines.rs
+++ b/src/plot/lines.rs
@@ -1,4 +1,4 @@
-//! One line plot.
+//! Line plots as SVG.
 
 use plotters::element::DashedPathElement;
 use plotters::prelude::*;
@@ -8,9 +8,10 @@
 const SIZE: (u32, u32) = (720, 320);
 const LABEL_AREA: u32 = 60;
 const FONT: (&str, u32) = ("sans-serif", 13);
-/// Dash and gap lengths in pixels of each line in turn; a gap of 0 is a whole line.
+/// Dash and gap lengths in pixels, one pair per line in turn; a gap of 0 draws a solid line.
 const DASHES: [(u32, u32); 4] = [(8, 0), (10, 5), (2, 4), (16, 8)];
-/// Colours of each line in turn, of clearly different lightness.
+/// Colours, one per line in turn. Their lightness differs, so that they can be told apart in
+/// greyscale.
 const COLOURS: [RGBColor; 4] = [
     RGBColor(0, 60, 120),
     RGBColor(190, 80, 0),
@@ -18,30 +19,30 @@
     RGBColor(120, 120, 120),
 ];
 
-/// A named line.
+/// A line with a legend entry.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Series {
-    /// Shown in the legend.
+    /// Text of the legend entry.
     pub name: String,
-    /// Its points, by rising x.
+    /// Points in ascending order of x.
     pub points: Vec<(f64, f64)>,
 }
 
-/// A plot of a few lines over one axis.
+/// A plot of several lines with shared axes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LinePlot {
-    /// Shown above.
+    /// Caption above the plot.
     pub title: String,
     /// Name and unit of the x axis.
     pub x: String,
     /// Name and unit of the y axis.
     pub y: String,
-    /// The lines; the fifth looks like the first.
+    /// Lines to draw. Colours and dashes repeat after the fourth line.
     pub series: Vec<Series>,
 }
 
 impl LinePlot {
-    /// Draws the plot as an SVG element.
+    /// Renders the plot as an SVG element, for embedding in HTML.
     pub fn to_svg(&self) -> Result<String> {
         let mut svg = String::new();
         self.draw(&mut svg)
@@ -87,7 +88,7 @@
         Ok(())
     }
 
-    /// Ranges that hold every point, zero included on the y axis.
+    /// Returns the x and y ranges that contain all points; the y range also contains zero.
     fn ranges(&self) -> (std::ops::Range<f64>, std::ops::Range<f64>) {
         let points = || self.series.iter().flat_map(|series| &series.points);
         let low_x = points().map(|p| p.0).fold(f64::INFINITY, f64::min);
--- a/src/plot/mod.rs
+++ b/src/plot/mod.rs
@@ -1,5 +1,5 @@
-//! Plots of reports: lines as SVG, in one HTML file. Lines differ by dashes and markers, so that they are told apart in print
-//! and without colour.
+//! Line plots as SVG and the HTML page around them. Lines differ in colour and dash pattern, so
+//! that they can be told apart in print and without colour.
 
 mod lines;
 mod page;
--- a/src/plot/page.rs
+++ b/src/plot/page.rs
@@ -1,4 +1,5 @@
-//! One HTML file around a report: no scripts, no further files, light and dark.
+//! A self-contained HTML page for a report: no scripts or external files, with light and dark
+//! colour schemes.
 
 use maud::{DOCTYPE, Markup, PreEscaped, html};
 
@@ -7,7 +8,7 @@
 padding:.25rem .75rem .25rem 0;border-bottom:1px solid #8888}svg{max-width:100%;height:auto}\
 pre{overflow-x:auto}.alert{border:2px solid;padding:.5rem}";
 
-/// Puts a report's body into a whole page under its title.
+/// Wraps a report's body in a complete HTML page; `title` is also the top heading.
 pub fn page(title: &str, body: &Markup) -> String {
     let page = html! {
         (DOCTYPE)
