--- a/src/slo/html.rs
+++ b/src/slo/html.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// Chooses the unit of the time time_unit for a window; returns its name and its length in seconds.
+/// Chooses the unit of the time axis for a window; returns its name and its length in seconds.
 fn time_unit(window: Duration) -> (&'static str, f64) {
     const DAY: f64 = 86_400.0;
     const HOUR: f64 = 3_600.0;
@@ -98,7 +98,7 @@
     }
 }
 
-/// Returns the x time_unit label and the points of a value over the window. X is the time relative to
+/// Returns the x axis label and the points of a value over the window. X is the time relative to
 /// the newest bucket, so it is zero or negative.
 fn points(report: &ObjectiveReport, y: impl FnMut(&Counts) -> f64) -> (String, Vec<(f64, f64)>) {
     let (unit, length) = time_unit(report.objective.window);
--- a/src/slo/report.rs
+++ b/src/slo/report.rs
@@ -143,7 +143,7 @@
     }
 }
 
-/// Formats rows as left-format_columns columns.
+/// Formats rows as left-aligned columns.
 fn format_columns<const N: usize>(rows: &[[String; N]]) -> String {
     let width = |column: usize| rows.iter().map(|row| row[column].len()).max().unwrap_or(0);
     let widths: [usize; N] = std::array::from_fn(width);
