--- a/src/control/api.rs
+++ b/src/control/api.rs
@@ -63,8 +63,8 @@
     }
 
     async fn get_document(&self, query: &str) -> ApiResult {
-        let wanted = revision_in(query)?;
-        let found = self.read_or_error(move |m, _| m.cell().document_record(wanted).cloned());
+        let revision = revision_in(query)?;
+        let found = self.read_or_error(move |m, _| m.cell().document_record(revision).cloned());
         let Some(record) = found.await? else {
             return Ok(error_answer(
                 404,
--- a/src/control/http.rs
+++ b/src/control/http.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// Ready if this replica is the leader and can confirm it, or if it knows a leader.
+/// Ready if this replica is the leader and can confirm it, or if it follows one.
 async fn readiness<G, P>(link: &Link<G, P>) -> HttpAnswer
 where
     P: Placer + Send + 'static,
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -14,7 +14,7 @@
 use crate::workload::TaskRun;
 
 /// Maximum number of starts in one log entry.
-const STARTS_PER_BATCH: usize = 2_000;
+const MAX_STARTS_PER_BATCH: usize = 2_000;
 
 /// Time between two checks of the distribution of minions over entry hosts.
 const BALANCE_INTERVAL: Duration = Duration::from_secs(1);
@@ -64,7 +64,9 @@
             return Vec::new();
         };
         let mut decisions = Vec::new();
-        leader.placer.decide(time, STARTS_PER_BATCH, &mut decisions);
+        leader
+            .placer
+            .decide(time, MAX_STARTS_PER_BATCH, &mut decisions);
         commands_from(&self.cell, decisions)
     }
 
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -46,7 +46,7 @@
             addr: minion.announced.addr,
             slots: minion.announced.slots,
             owner: minion.owner.clone(),
-            leaving: minion.leaving || minion.is_silent(),
+            leaving: minion.leaving || minion.is_expired(),
         });
         rows.collect()
     }
--- a/src/state/cell.rs
+++ b/src/state/cell.rs
@@ -53,7 +53,7 @@
     pub next_worker: WorkerNumber,
     /// Entry hosts that have joined and are not lost.
     pub entries: BTreeMap<EntryId, EntryRecord>,
-    /// Announced minions, and silent ones that an entry host still owns.
+    /// Announced minions, and those with an expired announcement that still have an owner.
     pub minions: BTreeMap<MinionId, MinionRecord>,
     /// Idempotency keys of requests, and tombstones of expired keys and removed jobs.
     pub keys: Keys,
@@ -79,7 +79,7 @@
     pub fn apply(&mut self, at: Timestamp, command: Command) -> Reply {
         self.clock = self.clock.max(at);
         let retention = self.document().policy.key_retention;
-        self.keys.forget(self.clock, retention);
+        self.keys.expire(self.clock, retention);
         command.apply(self)
     }
 
--- a/src/state/commands/entries.rs
+++ b/src/state/commands/entries.rs
@@ -77,13 +77,13 @@
             minion.release = false;
             minion.lapsed = true;
         }
-        self.remove_unowned_silent();
+        self.remove_unowned_expired();
     }
 
-    /// Removes minions that are silent and have no owner.
-    fn remove_unowned_silent(&mut self) {
+    /// Removes minions whose announcement expired and that have no owner.
+    fn remove_unowned_expired(&mut self) {
         self.minions
-            .retain(|_, minion| minion.owner.is_some() || !minion.is_silent());
+            .retain(|_, minion| minion.owner.is_some() || !minion.is_expired());
     }
 
     pub(super) fn announce_minion(&mut self, announced: MinionAnnouncement) -> Reply {
@@ -92,7 +92,7 @@
             // The owner stays the same and gets the new process or size with its feed.
             Some(minion) => {
                 minion.leaving = minion.leaving && minion.announced.process == announced.process;
-                if minion.is_silent() {
+                if minion.is_expired() {
                     let owner = minion.owner.as_ref().and_then(|id| self.entries.get(id));
                     minion.release = owner.is_some_and(|entry| entry.leaving);
                 }
@@ -160,7 +160,7 @@
                 minion.lapsed = false;
             }
         }
-        self.remove_unowned_silent();
+        self.remove_unowned_expired();
         self.assign_owners();
         self.feed_changed();
         Reply::Ok
--- a/src/state/keys.rs
+++ b/src/state/keys.rs
@@ -122,7 +122,7 @@
 
     /// Replaces records older than `retention` by tombstones, and removes tombstones older than
     /// [`TOMBSTONE_FACTOR`] times that.
-    pub(crate) fn forget(&mut self, now: Timestamp, retention: Duration) {
+    pub(crate) fn expire(&mut self, now: Timestamp, retention: Duration) {
         while let Some((at, _, _)) = self.claims.front() {
             let kept = *at + retention > now && self.claims.len() <= ANSWERS_KEPT;
             if kept {
--- a/src/state/queries/feed.rs
+++ b/src/state/queries/feed.rs
@@ -30,7 +30,7 @@
                         minion: minion.announced.clone(),
                         owner: minion.owner.clone(),
                         epoch: minion.epoch,
-                        leaving: minion.leaving || minion.is_silent(),
+                        leaving: minion.leaving || minion.is_expired(),
                         release: minion.release,
                         lapsed: minion.lapsed,
                     };
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -175,7 +175,7 @@
 impl MinionRecord {
     /// Whether its announcement expired. This is recorded as a `ttl` of zero, which no accepted
     /// announcement has.
-    pub const fn is_silent(&self) -> bool {
+    pub const fn is_expired(&self) -> bool {
         self.announced.ttl.is_zero()
     }
 }
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -452,8 +452,8 @@
 #[test]
 fn a_silent_minion_stays_with_its_owner_until_released() {
     // A minion's announcement expires while its owner may have requests there, and the minion
-    // announces itself again. The owner keeps it under the same epoch. A minion that stays silent
-    // is removed once the owner has released it.
+    // announces itself again. The owner keeps it under the same epoch. A minion that doesn't
+    // return is removed once the owner has released it.
     let mut cx = Fixture::new();
     cx.apply(Command::EntryUp(hello("e1")));
     cx.apply(minion("m"));
