--- a/src/control/burn.rs
+++ b/src/control/burn.rs
@@ -1,4 +1,4 @@
-//! The leader's count of job starts against the objectives.
+//! The leader's count of tasks' first starts against the objectives.
 
 use std::time::Duration;
 
--- a/src/control/machine.rs
+++ b/src/control/machine.rs
@@ -46,7 +46,7 @@
 /// Volatile state of the leader; each new leader starts with a new one.
 pub(super) struct LeaderState<P> {
     pub(super) placer: P,
-    /// Difference from monotonic time to the cell's time.
+    /// The cell's time minus monotonic time.
     pub(super) offset: Duration,
     pub(super) workers: LeaseTable<WorkerNumber>,
     pub(super) entries: LeaseTable<EntryId>,
--- a/src/error.rs
+++ b/src/error.rs
@@ -27,7 +27,7 @@
     Replicate,
     /// Applying a command to the replicated state.
     Apply,
-    /// Choosing a minion for a request.
+    /// Routing a request to a minion.
     Route,
     /// Replaying a trace.
     Replay,
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -4,7 +4,7 @@
 
 use compact_str::CompactString;
 
-/// Name of a cell: the machines managed by one group of control replicas.
+/// Name of a cell: the hosts managed by one group of control replicas.
 pub type CellName = CompactString;
 /// Name of an availability zone, such as `bern-a`.
 pub type ZoneName = CompactString;
