--- a/src/control/api.rs
+++ b/src/control/api.rs
@@ -104,7 +104,10 @@
             }
             Reply::Stale(current) => self.conflict_answer(base, current).await,
             Reply::Refused(refusal) => Err(answer_from_refusal(&refusal)),
-            _ => Err(error_answer(500, "unexpected reply from the state machine")),
+            _ => Err(error_answer(
+                500,
+                "the state machine gave an answer of another kind",
+            )),
         }
     }
 
@@ -158,7 +161,7 @@
 
     async fn submit_job(&self, call: &HttpCall) -> ApiResult {
         let mut submission: JobSubmission = serde_json::from_slice(&call.body)
-            .map_err(|e| error_answer(400, &format!("invalid job: {e}")))?;
+            .map_err(|e| error_answer(400, &format!("the job is not as expected: {e}")))?;
         let key = header_of(call, "idempotency-key").map(CompactString::from);
         submission.key = submission.key.or(key);
         job_answer(self.submit(submission, operator(call)).await)
@@ -196,7 +199,7 @@
     let number = value.trim().trim_start_matches("W/").trim_matches('"');
     number
         .parse()
-        .map_err(|_| error_answer(400, "If-Match is not a revision number"))
+        .map_err(|_| error_answer(400, "If-Match is no revision number"))
 }
 
 fn revision_in(query: &str) -> Result<Option<Revision>, HttpAnswer> {
@@ -207,7 +210,7 @@
         Some(value) => value
             .parse()
             .map(Some)
-            .map_err(|_| error_answer(400, "the revision is not a number")),
+            .map_err(|_| error_answer(400, "the revision is no number")),
     }
 }
 
@@ -269,12 +272,11 @@
             answer
         }
         Answer::Unknown => {
-            let message =
-                "leadership was lost during the request; send it again under the same key";
+            let message = "leadership was lost on the way; send it again under the same key";
             let mut answer = json_answer(504, &json!({ "error": message }));
             answer.headers.push(header(OUTCOME_HEADER, "unknown"));
             answer
         }
-        _ => error_answer(500, "unexpected reply from the state machine"),
+        _ => error_answer(500, "the state machine gave an answer of another kind"),
     }
 }
--- a/src/control/calls.rs
+++ b/src/control/calls.rs
@@ -145,7 +145,7 @@
     ) -> Result<(), Answer> {
         *rounds += 1;
         if *rounds > MAX_ROUNDS {
-            let message = "the call did not complete; retry it";
+            let message = "the call did not settle; ask again";
             return Err(refuse_with_retry(RefusalKind::Overloaded, message));
         }
         for command in commands {
--- a/src/control/http.rs
+++ b/src/control/http.rs
@@ -158,10 +158,7 @@
 
 /// The answer when forwarding failed: the outcome is unknown.
 fn forward_failed(e: &Error) -> HttpAnswer {
-    let mut answer = error_answer(
-        504,
-        &format!("forwarding the request to the leader failed: {e}"),
-    );
+    let mut answer = error_answer(504, &format!("the leader could not be asked: {e}"));
     // The leader may have executed the request before the connection failed.
     answer
         .headers
@@ -180,7 +177,7 @@
 ) -> Answer {
     let unknown = Answer::Unknown;
     let Ok(method) = Method::from_bytes(call.method.as_bytes()) else {
-        return Answer::Http(error_answer(400, "invalid HTTP method"));
+        return Answer::Http(error_answer(400, "the method is none of HTTP"));
     };
     let url = format!("http://{http}{}", call.path);
     let mut req = client.request(method, url).timeout(LOCAL_TIMEOUT);
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -127,7 +127,7 @@
         }
         if !prefixes.insert((route.host.clone(), route.path_prefix.clone())) {
             return Err(format!(
-                "route {}: another route has the same host and path_prefix",
+                "route {}: another one has its host and prefix",
                 route.name
             ));
         }
@@ -171,9 +171,7 @@
     for tenant in tenants {
         let name = tenant.name;
         if !(0.0..MAX_WEIGHT).contains(&tenant.weight) {
-            return Err(format!(
-                "tenant {name}: weight must be at least 0 and below {MAX_WEIGHT}"
-            ));
+            return Err(format!("tenant {name}: weight is not a rate"));
         }
         let limit = Resources {
             millicores: tenant.max_count.cpu,
@@ -185,7 +183,7 @@
             limit,
         };
         if all.by_name.insert(name.clone(), workspace).is_some() {
-            return Err(format!("tenant {name}: another tenant has the same name"));
+            return Err(format!("tenant {name}: another one has its name"));
         }
         for key in &tenant.api_keys {
             if key.is_empty() {
@@ -202,10 +200,7 @@
 
 fn queue(route: RouteBody) -> Result<Queue, String> {
     if !route.stretch.is_finite() || route.stretch < 0.0 {
-        return Err(format!(
-            "route {}: stretch must be a finite number of at least 0",
-            route.name
-        ));
+        return Err(format!("route {}: stretch is not a factor", route.name));
     }
     let advice = match route.advice {
         Some(a) => Some(AdviceTerms {
@@ -241,7 +236,7 @@
 
 fn duration(ms: f64) -> Result<Duration, String> {
     if !(0.0..1e12).contains(&ms) {
-        return Err(format!("{ms} is not a valid number of milliseconds"));
+        return Err(format!("{ms} is not a span of time"));
     }
     Ok(Duration::from_secs_f64(ms / 1000.0))
 }
--- a/src/platform/front.rs
+++ b/src/platform/front.rs
@@ -115,7 +115,7 @@
         retry_later(
             StatusCode::SERVICE_UNAVAILABLE,
             after,
-            "not accepted and not run; try again later",
+            "not accepted and not run; come back later",
         )
     };
     let in_doubt = || {
@@ -133,7 +133,7 @@
             ClientReply::NoQueue => error_reply(StatusCode::NOT_FOUND, "there is no such queue"),
             ClientReply::Unauthenticated => unauthenticated(),
             ClientReply::IdTaken => {
-                error_reply(StatusCode::CONFLICT, "the id belongs to another job")
+                error_reply(StatusCode::CONFLICT, "the id is that of another job")
             }
             ClientReply::Invalid(why) => error_reply(StatusCode::BAD_REQUEST, &why),
             ClientReply::Unavailable(after) => unavailable(after),
@@ -147,7 +147,7 @@
 }
 
 fn unauthenticated() -> Reply {
-    let mut reply = error_reply(StatusCode::UNAUTHORIZED, "the key is missing or unknown");
+    let mut reply = error_reply(StatusCode::UNAUTHORIZED, "the key is missing or not known");
     let scheme = HeaderValue::from_static(KEY_SCHEME);
     reply.headers_mut().insert(WWW_AUTHENTICATE, scheme);
     reply
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -91,7 +91,7 @@
 pub(super) fn body_error_reply(e: BodyError) -> Reply {
     match e {
         BodyError::TooLarge => error_reply(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
-        BodyError::Broken => error_reply(StatusCode::BAD_REQUEST, "the body is incomplete"),
+        BodyError::Broken => error_reply(StatusCode::BAD_REQUEST, "the body did not arrive whole"),
     }
 }
 
--- a/src/platform/jobs.rs
+++ b/src/platform/jobs.rs
@@ -148,7 +148,7 @@
 
 fn duration(name: &str, ms: f64) -> Result<Duration, String> {
     if !(0.0..=MAX_MS).contains(&ms) {
-        return Err(format!("{name} is not a valid number of milliseconds"));
+        return Err(format!("{name} is not a time"));
     }
     Ok(Duration::from_secs_f64(ms / 1000.0))
 }
--- a/src/wire/connection.rs
+++ b/src/wire/connection.rs
@@ -154,7 +154,8 @@
         .map_err(|e| transfer(Step::Handshake, peer, e))?;
     let version = u16::from_le_bytes([hello[0], hello[1]]);
     if version != WIRE_VERSION {
-        let message = format!("the peer uses wire version {version}, this process {WIRE_VERSION}");
+        let message =
+            format!("the peer speaks wire version {version}, this process {WIRE_VERSION}");
         return Err(Error::new(Step::Handshake, message).with_peer(peer));
     }
     let mut id = KeyId::default();
