--- a/benches/access.rs
+++ b/benches/access.rs
@@ -63,7 +63,7 @@
         prefix: "/checks/".into(),
         timeout: Duration::from_secs(3),
         slo: Duration::from_millis(250),
-        stretch: 1.5,
+        slo_multiple: 1.5,
         priority: 0,
         service: "desk".into(),
         attempts: 2,
--- a/benches/dispatch.rs
+++ b/benches/dispatch.rs
@@ -16,7 +16,7 @@
 };
 use yuccahold::batch::ledger::{Command, Ledger};
 use yuccahold::batch::model::{
-    AdviceTerms, EndKind, JobSpec, MinionReport, Queue, Readiness, StepSpec,
+    EndKind, JobSpec, MinionReport, PolicyConfig, Queue, Readiness, StepSpec,
 };
 use yuccahold::resources::Resources;
 
@@ -81,11 +81,11 @@
         prefix: format!("/{name}/").into(),
         timeout: Duration::from_secs(3),
         slo: Duration::from_millis(300),
-        stretch: 2.0,
+        slo_multiple: 2.0,
         priority,
         service: "desk".into(),
         attempts: 3,
-        advice: Some(AdviceTerms {
+        advice: Some(PolicyConfig {
             base: Duration::from_millis(terms.0),
             per_minion: Duration::from_micros(terms.1),
             validity: Duration::from_millis(2000),
--- a/src/batch/calls.rs
+++ b/src/batch/calls.rs
@@ -32,7 +32,7 @@
     /// Cancels a job.
     Cancel,
     /// Reads the number of jobs in the queue of which no task has started.
-    Pending,
+    PendingCount,
 }
 
 /// A caller's request.
@@ -56,9 +56,9 @@
     /// State of the job.
     State(JobState),
     /// Number of jobs in the queue of which no task has started.
-    Pending(u64),
+    PendingCount(u64),
     /// The job does not exist, ended too long ago, or is not visible to the caller.
-    Gone,
+    NotFound,
     /// No queue matches the request, or the path has no valid job id.
     NoQueue,
     /// The queue requires a key, and the request has no valid one.
--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -12,7 +12,7 @@
 use super::run::demand;
 use super::{Dispatcher, ReadyStep};
 use crate::batch::event::Event;
-use crate::batch::model::{AdviceTerms, JobId, MinionNumber, StepId, StepSpec};
+use crate::batch::model::{JobId, MinionNumber, PolicyConfig, StepId, StepSpec};
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 
@@ -117,7 +117,7 @@
         now: Timestamp,
         id: StepId,
         step: &ReadyStep,
-        terms: AdviceTerms,
+        policy: PolicyConfig,
         reason: QuestionReason,
     ) {
         self.expire_lost_questions(now);
@@ -128,7 +128,7 @@
         if entry.is_asked() || now < entry.next_question {
             return;
         }
-        let candidates = self.question_candidates(now, id, step, terms);
+        let candidates = self.question_candidates(now, id, step, policy);
         if candidates.is_empty() {
             if let Some(step_advice) = self.step_advice.get_mut(&id) {
                 step_advice.next_question = now + NO_CANDIDATE_PAUSE;
@@ -139,7 +139,7 @@
             .iter()
             .filter_map(|(n, _)| self.minions.get(n).map(|m| m.report.id.clone()))
             .collect::<Vec<_>>();
-        let cost = terms.base + terms.per_minion * minions.len() as u32;
+        let cost = policy.base + policy.per_minion * minions.len() as u32;
         let asked = self
             .questions
             .send(now, id, class, expected_use(step, id, &candidates));
@@ -206,10 +206,10 @@
             if !self.is_allowed(step, spec) || !self.has_room_but_no_ticket(now, id, step, spec) {
                 continue;
             }
-            if let Some(terms) = step.queue.advice
+            if let Some(policy) = step.queue.advice
                 && let Some(step) = self.ready.remove(&id)
             {
-                self.ask(now, id, &step, terms, QuestionReason::PassedOver);
+                self.ask(now, id, &step, policy, QuestionReason::PassedOver);
                 self.ready.insert(id, step);
             }
         }
@@ -273,20 +273,20 @@
     pub(super) fn ask_ahead(&mut self, now: Timestamp) {
         let mut upcoming = std::mem::take(&mut self.upcoming);
         for (id, step) in &mut upcoming {
-            let Some(terms) = step.queue.advice else {
+            let Some(policy) = step.queue.advice else {
                 continue;
             };
             if now < step.check_at {
                 continue;
             }
-            let takes = terms.base + terms.per_minion * MIN_MINIONS_PER_QUESTION as u32;
+            let takes = policy.base + policy.per_minion * MIN_MINIONS_PER_QUESTION as u32;
             let known = self.step_advice.get(id);
             let has_ticket =
                 |k: &StepAdvice| k.tickets.keys().any(|m| k.has_ticket(*m, now + takes));
             let expected_start = self.expected_start(now, *id, step);
             step.check_at = now + look_ahead_pause(now, expected_start, takes);
             if expected_start.is_some_and(|at| at < now + takes) && !known.is_some_and(has_ticket) {
-                self.ask(now, *id, step, terms, QuestionReason::Upcoming);
+                self.ask(now, *id, step, policy, QuestionReason::Upcoming);
             }
         }
         self.upcoming = upcoming;
@@ -331,7 +331,7 @@
         let step = self.ready.get(&id).or_else(|| self.upcoming.get(&id));
         let validity = step
             .and_then(|step| step.queue.advice)
-            .map_or(Duration::ZERO, |terms| terms.validity);
+            .map_or(Duration::ZERO, |policy| policy.validity);
         let waiting = step.map_or(0, |step| step.waiting.len());
         let Some(step_advice) = self.step_advice.get_mut(&id) else {
             return;
--- a/src/batch/dispatch/answers.rs
+++ b/src/batch/dispatch/answers.rs
@@ -200,8 +200,8 @@
             return;
         };
         self.changed_minions.insert(number);
-        if let Answer::Silent(silence) = answer {
-            minion.record_failed_call(sent, *silence, now);
+        if let Answer::Silent(failure) = answer {
+            minion.record_failed_call(sent, *failure, now);
         }
         let (Answer::Done { clock } | Answer::Refused { clock, .. }) = answer else {
             minion.record_unanswered(sent);
--- a/src/batch/dispatch/holds.rs
+++ b/src/batch/dispatch/holds.rs
@@ -198,8 +198,8 @@
                 self.minion_gone(now, number, sent, GoneEvidence::OtherIncarnation)
             }
             HoldAnswer::Refused | HoldAnswer::Silent(_) => {
-                if let HoldAnswer::Silent(silence) = answer {
-                    minion.record_failed_call(sent, silence, now);
+                if let HoldAnswer::Silent(failure) = answer {
+                    minion.record_failed_call(sent, failure, now);
                 }
                 minion.silent_calls += 1;
                 // The first retry follows at once, over another connection.
@@ -215,8 +215,8 @@
                     self.emit(event);
                 }
                 let minion = &self.minions[&number];
-                if let HoldAnswer::Silent(silence) = answer
-                    && let Some(evidence) = minion.shows_end(sent, silence, self.cfg.stop_time)
+                if let HoldAnswer::Silent(failure) = answer
+                    && let Some(evidence) = minion.shows_end(sent, failure, self.cfg.stop_time)
                 {
                     self.minion_gone(now, number, sent, evidence);
                 }
--- a/src/batch/dispatch/minion.rs
+++ b/src/batch/dispatch/minion.rs
@@ -5,7 +5,7 @@
 
 use super::ORDER_EXPIRY;
 use super::crashes::GoneEvidence;
-use super::order::{Silence, Target};
+use super::order::{CallFailure, Target};
 use super::quota::Charge;
 use super::speed::Pace;
 use crate::batch::ledger::Crash;
@@ -255,13 +255,13 @@
     pub(super) fn shows_end(
         &self,
         sent: Timestamp,
-        silence: Silence,
+        failure: CallFailure,
         stop_time: Duration,
     ) -> Option<GoneEvidence> {
-        match (self.presence, silence) {
+        match (self.presence, failure) {
             (Presence::Present, _) => None,
-            (_, Silence::Refused) => Some(GoneEvidence::Refused),
-            (Presence::Leaving(at), Silence::Lost | Silence::Broken)
+            (_, CallFailure::Refused) => Some(GoneEvidence::Refused),
+            (Presence::Leaving(at), CallFailure::Lost | CallFailure::Broken)
                 if sent >= at + stop_time && self.silent_calls > 1 =>
             {
                 Some(GoneEvidence::Silent)
@@ -322,13 +322,18 @@
     }
 
     /// Records that a call sent at `sent` got no answer.
-    pub(super) fn record_failed_call(&mut self, sent: Timestamp, silence: Silence, now: Timestamp) {
-        if matches!(silence, Silence::Refused | Silence::Broken) {
+    pub(super) fn record_failed_call(
+        &mut self,
+        sent: Timestamp,
+        failure: CallFailure,
+        now: Timestamp,
+    ) {
+        if matches!(failure, CallFailure::Refused | CallFailure::Broken) {
             self.down_by.get_or_insert(now);
         }
         // A connection that broke only after a while had been accepted, so the minion was up until
         // now.
-        if silence == Silence::Broken && now >= sent + ACCEPTED_AFTER {
+        if failure == CallFailure::Broken && now >= sent + ACCEPTED_AFTER {
             self.record_up(now);
         }
     }
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -46,8 +46,8 @@
 pub use mechanisms::{Mechanism, Mechanisms};
 use minion::{CLOCK_RATE, Minion};
 pub use order::{
-    Advice, AdviceQuestion, Answer, ConfigOrder, HoldAnswer, HoldOrder, ListedEnd, ListedRun,
-    Listing, MinionAnswer, MinionOrder, Order, OrderKind, QuestionId, Silence, StartOrder,
+    Advice, AdviceQuestion, Answer, CallFailure, ConfigOrder, HoldAnswer, HoldOrder, ListedEnd,
+    ListedRun, Listing, MinionAnswer, MinionOrder, Order, OrderKind, QuestionId, StartOrder,
     StartRefusal, Target,
 };
 use ready::ReadyStep;
--- a/src/batch/dispatch/order.rs
+++ b/src/batch/dispatch/order.rs
@@ -87,8 +87,8 @@
     /// The outcome to record when the process that should have sent the order did not.
     pub fn not_called(&self) -> MinionAnswer {
         match self {
-            Self::Hold(_) => MinionAnswer::Hold(HoldAnswer::Silent(Silence::NotCalled)),
-            _ => MinionAnswer::Order(Answer::Silent(Silence::NotCalled)),
+            Self::Hold(_) => MinionAnswer::Hold(HoldAnswer::Silent(CallFailure::NotCalled)),
+            _ => MinionAnswer::Order(Answer::Silent(CallFailure::NotCalled)),
         }
     }
 }
@@ -155,7 +155,7 @@
 
 /// Why a call got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Silence {
+pub enum CallFailure {
     /// The connection was refused: nothing listens on the address.
     Refused,
     /// The call timed out.
@@ -177,7 +177,7 @@
     /// The deadline had passed.
     Late,
     /// The minion's free resources are too small.
-    NoRoom,
+    InsufficientResources,
     /// The ticket is missing or has expired.
     Ticket,
     /// The minion is unhealthy or can't parse the order.
@@ -191,7 +191,7 @@
             Self::Fenced => "fenced",
             Self::Superseded => "superseded",
             Self::Late => "late",
-            Self::NoRoom => "no-room",
+            Self::InsufficientResources => "no-room",
             Self::Ticket => "ticket",
             Self::Unhealthy => "unhealthy",
         }
@@ -216,7 +216,7 @@
     /// Another incarnation listens on the address: the addressed one has ended for good.
     OtherIncarnation,
     /// No answer: the order may have been carried out, or may be carried out later.
-    Silent(Silence),
+    Silent(CallFailure),
 }
 
 /// A current run in a minion's listing.
@@ -274,7 +274,7 @@
     /// Another incarnation listens on the address.
     OtherIncarnation,
     /// No answer: the lease may have been renewed.
-    Silent(Silence),
+    Silent(CallFailure),
 }
 
 impl HoldAnswer {
@@ -284,10 +284,10 @@
             Self::Listing(_) => "lists",
             Self::Refused => "a refusal",
             Self::OtherIncarnation => "another incarnation",
-            Self::Silent(Silence::Refused) => "a refused connection",
-            Self::Silent(Silence::Lost) => "nothing",
-            Self::Silent(Silence::NotCalled) => "no call",
-            Self::Silent(Silence::Broken) => "a broken connection",
+            Self::Silent(CallFailure::Refused) => "a refused connection",
+            Self::Silent(CallFailure::Lost) => "nothing",
+            Self::Silent(CallFailure::NotCalled) => "no call",
+            Self::Silent(CallFailure::Broken) => "a broken connection",
         }
     }
 }
--- a/src/batch/dispatch/place.rs
+++ b/src/batch/dispatch/place.rs
@@ -97,8 +97,8 @@
         if step.is_lasting() {
             self.reserve_resources(now, unix, id, &step);
         }
-        if let Some(terms) = step.queue.advice {
-            self.ask(now, id, &step, terms, QuestionReason::Now);
+        if let Some(policy) = step.queue.advice {
+            self.ask(now, id, &step, policy, QuestionReason::Now);
         }
         if !step.is_lasting() {
             self.reserve_resources(now, unix, id, &step);
@@ -117,8 +117,8 @@
         step: &ReadyStep,
         spec: &StepSpec,
     ) {
-        if let Some(terms) = step.queue.advice {
-            self.ask(now, id, step, terms, QuestionReason::Now);
+        if let Some(policy) = step.queue.advice {
+            self.ask(now, id, step, policy, QuestionReason::Now);
         }
         self.make_room_in_limit(now, unix, id, step, spec);
     }
@@ -207,7 +207,7 @@
     ) -> bool {
         minion.trials == 0
             && need.fits_in(&minion.free())
-            && (!spec.fills
+            && (!spec.uses_idle_cpu
                 || minion.idle_cpu_demand + spec.need.millicores <= minion.free().millicores)
             && self.respects_reservations(now, minion, step, spec, need)
             && self.has_permission(now, minion, id, step, spec)
@@ -252,7 +252,7 @@
         }
         // A task that uses idle CPU slows down latency-sensitive tasks on the same minion, so the
         // two kinds are kept apart.
-        if (spec.fills && minion.serving > 0)
+        if (spec.uses_idle_cpu && minion.serving > 0)
             || (spec.latency_target.is_some() && minion.idle_cpu_demand > 0)
         {
             return false;
--- a/src/batch/dispatch/question_candidates.rs
+++ b/src/batch/dispatch/question_candidates.rs
@@ -9,7 +9,7 @@
 use super::run::demand;
 use super::speed::Slowness;
 use super::{Dispatcher, ReadyStep};
-use crate::batch::model::{AdviceTerms, MinionNumber, StepId};
+use crate::batch::model::{MinionNumber, PolicyConfig, StepId};
 use crate::batch::rendezvous::rendezvous_weight;
 use crate::ids::Timestamp;
 use crate::resources::Resources;
@@ -81,12 +81,12 @@
         now: Timestamp,
         id: StepId,
         step: &ReadyStep,
-        terms: AdviceTerms,
+        policy: PolicyConfig,
     ) -> Vec<(MinionNumber, u32)> {
-        let most = max_candidates(terms);
+        let most = max_candidates(policy);
         let waiting = step.waiting.len() as u32;
         // New tickets should arrive before the current ones expire.
-        let lead_time = terms.base + terms.per_minion * most as u32;
+        let lead_time = policy.base + policy.per_minion * most as u32;
         let availabilities = self.availabilities(now, step.queue.priority);
         let Some(step_advice) = self.step_advice.get(&id) else {
             return Vec::new();
@@ -197,11 +197,11 @@
 
 /// Most minions that a question should name: with more, it would cost more than twice its fixed
 /// part.
-fn max_candidates(terms: AdviceTerms) -> usize {
-    if terms.per_minion.is_zero() {
+fn max_candidates(policy: PolicyConfig) -> usize {
+    if policy.per_minion.is_zero() {
         return MAX_MINIONS_PER_QUESTION;
     }
-    let even = terms.base.as_secs_f64() / terms.per_minion.as_secs_f64();
+    let even = policy.base.as_secs_f64() / policy.per_minion.as_secs_f64();
     (even as usize).clamp(MIN_MINIONS_PER_QUESTION, MAX_MINIONS_PER_QUESTION)
 }
 
--- a/src/batch/dispatch/ready.rs
+++ b/src/batch/dispatch/ready.rs
@@ -201,5 +201,5 @@
         .spec
         .timetable
         .map_or(job.accepted, |t| t.due(id.occurrence));
-    begun + job.queue.slo + chain.mul_f64(job.queue.stretch)
+    begun + job.queue.slo + chain.mul_f64(job.queue.slo_multiple)
 }
--- a/src/batch/dispatch/reservations.rs
+++ b/src/batch/dispatch/reservations.rs
@@ -261,7 +261,9 @@
         step: &ReadyStep,
     ) {
         let spec = &step.spec.steps[usize::from(id.step)];
-        if spec.fills || step.is_expired(unix) || !self.cfg.mechanisms.has(Mechanism::Reservations)
+        if spec.uses_idle_cpu
+            || step.is_expired(unix)
+            || !self.cfg.mechanisms.has(Mechanism::Reservations)
         {
             return;
         }
--- a/src/batch/dispatch/run.rs
+++ b/src/batch/dispatch/run.rs
@@ -109,7 +109,11 @@
             state: RunState::Proposed,
             stop: StopState::No,
             need: demand(spec),
-            idle_cpu_demand: if spec.fills { spec.need.millicores } else { 0 },
+            idle_cpu_demand: if spec.uses_idle_cpu {
+                spec.need.millicores
+            } else {
+                0
+            },
             serves: spec.latency_target.is_some(),
             deadline: Duration::ZERO,
             tries: 0,
@@ -175,7 +179,11 @@
 /// Resources that a task demands of its minion; one that uses idle CPU demands no CPU.
 pub(super) fn demand(spec: &StepSpec) -> Resources {
     Resources {
-        millicores: if spec.fills { 0 } else { spec.need.millicores },
+        millicores: if spec.uses_idle_cpu {
+            0
+        } else {
+            spec.need.millicores
+        },
         ..spec.need
     }
 }
--- a/src/batch/ledger/format_2.rs
+++ b/src/batch/ledger/format_2.rs
@@ -13,7 +13,7 @@
 use super::records::{MinionRecord, Occurrence};
 use super::{Batch, StoredConfig};
 use crate::batch::model::{
-    self, AdviceTerms, ConfigVersion, JobId, JobSpec, JobState, Limits, MinionNumber, Service,
+    self, ConfigVersion, JobId, JobSpec, JobState, Limits, MinionNumber, PolicyConfig, Service,
 };
 use crate::ids::{ServiceName, Timestamp};
 
@@ -76,7 +76,7 @@
     priority: u32,
     service: ServiceName,
     attempts: u32,
-    advice: Option<AdviceTerms>,
+    advice: Option<PolicyConfig>,
 }
 
 #[derive(Deserialize)]
@@ -157,7 +157,7 @@
             prefix: old.prefix,
             timeout: old.timeout,
             slo: old.slo,
-            stretch: old.stretch,
+            slo_multiple: old.stretch,
             priority: old.priority,
             service: old.service,
             attempts: old.attempts,
--- a/src/batch/link.rs
+++ b/src/batch/link.rs
@@ -44,21 +44,21 @@
 /// about twice as long.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Time for which a call may wait for a leader after there has been none for `absent`.
-pub fn leader_wait(absent: Duration) -> Duration {
-    LEADER_WAIT.saturating_sub(absent)
+/// Time for which a call may wait for a leader after there has been none for `leaderless`.
+pub fn leader_wait(leaderless: Duration) -> Duration {
+    LEADER_WAIT.saturating_sub(leaderless)
 }
 
-/// Retry delay for a caller after there has been no leader for `absent`. An outage that has lasted
-/// for some time is expected to last about as long again; with a delay of one second, callers would
-/// use up their retries before an outage of four seconds ends.
-pub fn retry_after(absent: Duration) -> Duration {
-    absent.clamp(RETRY_AFTER, MAX_RETRY_AFTER)
+/// Retry delay for a caller after there has been no leader for `leaderless`. An outage that has
+/// lasted for some time is expected to last about as long again; with a delay of one second, callers
+/// would use up their retries before an outage of four seconds ends.
+pub fn retry_after(leaderless: Duration) -> Duration {
+    leaderless.clamp(RETRY_AFTER, MAX_RETRY_AFTER)
 }
 
 /// Reason why a call has no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoAnswer {
+pub enum CallError {
     /// The call was never sent.
     NotSent,
     /// The call was sent and may have been executed.
@@ -67,7 +67,7 @@
 
 /// What this process needs to act as an agent of the leader.
 #[derive(Clone)]
-pub struct Calls<M, P> {
+pub struct AgentCalls<M, P> {
     /// Client for calls to minions.
     pub minions: M,
     /// Client for questions to the policy service.
@@ -95,7 +95,7 @@
     pub fn start(
         seeds: Vec<SocketAddr>,
         keys: CellKeys,
-        calls: Calls<impl Minions, impl Policy>,
+        calls: AgentCalls<impl Minions, impl Policy>,
         log: Logger,
     ) -> Self {
         let (tx, current) = watch::channel(None);
@@ -135,7 +135,7 @@
     }
 
     /// Time since the loss of the last leader; `None` while one is connected.
-    pub fn absent(&self, now: Instant) -> Option<Duration> {
+    pub fn leaderless_for(&self, now: Instant) -> Option<Duration> {
         let lost_at = *self.lost_at.lock().expect("no holder panics");
         (!self.is_connected()).then(|| now.saturating_duration_since(lost_at))
     }
@@ -145,14 +145,14 @@
     /// A call whose connection broke is sent again to the next leader. That is safe because every
     /// call is idempotent: a job by its id, a configuration by its version, a report by its
     /// sequence number.
-    pub async fn call(&self, call: Call, deadline: Instant) -> Result<CallReply, NoAnswer> {
+    pub async fn call(&self, call: Call, deadline: Instant) -> Result<CallReply, CallError> {
         let mut current = self.current.clone();
         let mut sent = false;
         let no_answer = |sent| {
             if sent {
-                NoAnswer::InDoubt
+                CallError::InDoubt
             } else {
-                NoAnswer::NotSent
+                CallError::NotSent
             }
         };
         loop {
@@ -173,7 +173,7 @@
                 }
                 Ok(Ok(reply)) => return Ok(reply),
                 Ok(Err(_)) => sent = true,
-                Err(_) => return Err(NoAnswer::InDoubt),
+                Err(_) => return Err(CallError::InDoubt),
             }
         }
     }
@@ -201,7 +201,7 @@
     /// Address to try before all others: a member named it as the leader's.
     next_addr: Option<SocketAddr>,
     keys: CellKeys,
-    calls: Calls<M, P>,
+    calls: AgentCalls<M, P>,
     current: watch::Sender<Option<mpsc::UnboundedSender<PendingCall>>>,
     lost_at: Arc<Mutex<Instant>>,
     log: Logger,
--- a/src/batch/machine.rs
+++ b/src/batch/machine.rs
@@ -83,9 +83,9 @@
             return Admission::Answer(ClientReply::Unauthenticated);
         };
         let job = match (&call.action, parse_job_id(rest)) {
-            (ClientAction::Pending, _) => {
+            (ClientAction::PendingCount, _) => {
                 let pending = self.ledger.pending(&queue.host, &queue.prefix);
-                return Admission::Answer(ClientReply::Pending(pending as u64));
+                return Admission::Answer(ClientReply::PendingCount(pending as u64));
             }
             (_, Some(job)) => job,
             (_, None) => return Admission::Answer(ClientReply::NoQueue),
@@ -107,16 +107,16 @@
             })),
             ClientAction::State => Admission::Answer(match visible {
                 Some(visible) => ClientReply::State(visible.state),
-                None => ClientReply::Gone,
+                None => ClientReply::NotFound,
             }),
             ClientAction::Cancel => match visible {
-                None => Admission::Answer(ClientReply::Gone),
+                None => Admission::Answer(ClientReply::NotFound),
                 Some(visible) if visible.state.is_final() => {
                     Admission::Answer(ClientReply::Accepted)
                 }
                 Some(_) => Admission::Propose(Box::new(Command::Cancel { job })),
             },
-            ClientAction::Pending => Admission::Answer(ClientReply::NoQueue),
+            ClientAction::PendingCount => Admission::Answer(ClientReply::NoQueue),
         }
     }
 
@@ -255,7 +255,7 @@
         commands
     }
 
-    fn not_taken(&mut self, command: Vec<u8>) {
+    fn rejected(&mut self, command: Vec<u8>) {
         self.rejected_batches.push(command);
     }
 
--- a/src/batch/model.rs
+++ b/src/batch/model.rs
@@ -130,7 +130,7 @@
     /// Bound on the tail latency of a task that itself serves requests; `None` for other tasks.
     pub latency_target: Option<Duration>,
     /// Whether the tasks use only processor time that other tasks leave idle.
-    pub fills: bool,
+    pub uses_idle_cpu: bool,
     /// Most tasks that the scheduler may disrupt at once; `None` when not declared.
     pub disruption_budget: Option<u32>,
 }
@@ -166,7 +166,7 @@
 
 /// Cost and validity of answers of the placement policy service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct AdviceTerms {
+pub struct PolicyConfig {
     /// Fixed time of a call.
     pub base: Duration,
     /// Additional time for each minion in the question.
@@ -189,7 +189,7 @@
     /// Fixed part of a job's latency objective.
     pub slo: Duration,
     /// Variable part of the latency objective, as a multiple of the job's critical path.
-    pub stretch: f64,
+    pub slo_multiple: f64,
     /// Scheduling priority; 0 is the highest.
     pub priority: u32,
     /// Service whose minions run the tasks.
@@ -197,7 +197,7 @@
     /// Number of failed runs of a task, or of a gang's tasks together, that fail the job.
     pub attempts: u32,
     /// Policy service to ask before placing tasks; `None` to place without asking.
-    pub advice: Option<AdviceTerms>,
+    pub advice: Option<PolicyConfig>,
     /// Whether callers need no API key.
     pub public: bool,
 }
@@ -325,9 +325,9 @@
     /// The lease expired, or the minion is gone.
     Lapsed,
     /// Another member of its gang ended.
-    Broken,
+    GangMemberLost,
     /// The other members of its gang did not start in time.
-    Alone,
+    GangIncomplete,
     /// Proved never to have started.
     NeverStarted,
     /// The minion crashed.
@@ -342,8 +342,8 @@
             Self::Failed => "failed",
             Self::Stopped => "stopped",
             Self::Lapsed => "lapsed",
-            Self::Broken => "broken",
-            Self::Alone => "alone",
+            Self::GangMemberLost => "broken",
+            Self::GangIncomplete => "alone",
             Self::NeverStarted => "never-started",
             Self::Crashed => "crashed",
         }
--- a/src/batch/server.rs
+++ b/src/batch/server.rs
@@ -15,7 +15,7 @@
     AgentMessage, Call, CallReply, ClientReply, OperatorReply, RETRY_AFTER, ServerMessage,
 };
 use super::ledger::{Command, Reply};
-use super::link::{LeaderLink, NoAnswer};
+use super::link::{CallError, LeaderLink};
 use super::machine::{Admission, Machine};
 use crate::error::{Error, Result, Step};
 use crate::ids::ZoneName;
@@ -118,7 +118,7 @@
     async fn propose_for_client(&self, command: Command) -> CallReply {
         match self.propose(command).await {
             Ok(Reply::Accepted) => CallReply::Client(ClientReply::Accepted),
-            Ok(Reply::Unknown) => CallReply::Client(ClientReply::Gone),
+            Ok(Reply::Unknown) => CallReply::Client(ClientReply::NotFound),
             Ok(Reply::IdTaken) => CallReply::Client(ClientReply::IdTaken),
             Err(ProposeError::NotLeader { leader }) => CallReply::NotLeader(leader),
             Err(ProposeError::Overloaded(_)) => {
@@ -348,21 +348,21 @@
 /// Client of the leader in a control daemon: calls this replica directly while it leads, and
 /// another leader over the link.
 #[derive(Clone)]
-pub struct ToLeader {
+pub struct LeaderClient {
     /// Used while this replica leads.
     pub local: CallServer,
     /// Used while another replica leads.
     pub link: LeaderLink,
 }
 
-impl ToLeader {
+impl LeaderClient {
     /// Calls the current leader until one answers or the deadline passes.
-    pub async fn call(&self, call: Call, deadline: Instant) -> Result<CallReply, NoAnswer> {
+    pub async fn call(&self, call: Call, deadline: Instant) -> Result<CallReply, CallError> {
         if self.local.leads() {
             match timeout(deadline - Instant::now(), self.local.answer(call.clone())).await {
                 Ok(CallReply::NotLeader(_)) => {}
                 Ok(reply) => return Ok(reply),
-                Err(_) => return Err(NoAnswer::InDoubt),
+                Err(_) => return Err(CallError::InDoubt),
             }
         }
         self.link.call(call, deadline).await
--- a/src/platform/config.rs
+++ b/src/platform/config.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 
 use crate::batch::dispatch::ConfigOrder;
-use crate::batch::model::{AdviceTerms, Configuration, Limits, Queue, Service};
+use crate::batch::model::{Configuration, Limits, PolicyConfig, Queue, Service};
 use crate::batch::workspaces::{KeyHash, Workspace, Workspaces};
 use crate::resources::Resources;
 
@@ -208,7 +208,7 @@
         ));
     }
     let advice = match route.advice {
-        Some(a) => Some(AdviceTerms {
+        Some(a) => Some(PolicyConfig {
             base: duration(a.decide_ms)?,
             per_minion: duration(a.each_ms)?,
             validity: duration(a.validity_ms)?,
@@ -221,7 +221,7 @@
         prefix: route.path_prefix,
         timeout: duration(route.timeout_ms)?,
         slo: duration(route.slo_ms)?,
-        stretch: route.stretch,
+        slo_multiple: route.stretch,
         priority: route.priority,
         service: route.service,
         attempts: route.attempts.max(1),
--- a/src/platform/control.rs
+++ b/src/platform/control.rs
@@ -19,7 +19,7 @@
 use crate::batch::link::LeaderLink;
 use crate::batch::machine::Machine;
 use crate::batch::model::Limits;
-use crate::batch::server::{CallServer, ToLeader};
+use crate::batch::server::{CallServer, LeaderClient};
 use crate::error::{Error, Result, Step};
 use crate::exit_codes::ExitCode;
 use crate::replication::{Formation, Replica, ReplicaConfig};
@@ -118,7 +118,7 @@
     tokio::spawn(server.clone().serve(calls));
     let (_stop, stopping) = watch::channel(false);
     let handler = ControlHandler {
-        leader: ToLeader {
+        leader: LeaderClient {
             local: server,
             link: link.clone(),
         },
--- a/src/platform/front.rs
+++ b/src/platform/front.rs
@@ -17,7 +17,7 @@
 use super::jobs::{self, PendingBody};
 use super::settings::METRICS_PATH;
 use crate::batch::calls::{Call, CallReply, ClientAction, ClientCall, ClientReply};
-use crate::batch::link::{LeaderLink, NoAnswer, leader_wait, retry_after};
+use crate::batch::link::{CallError, LeaderLink, leader_wait, retry_after};
 use crate::batch::machine::parse_job_id;
 use crate::batch::model::Limits;
 use crate::batch::workspaces::KeyHash;
@@ -63,10 +63,10 @@
             }
             (Method::GET, true) => ClientAction::State,
             (Method::DELETE, true) => ClientAction::Cancel,
-            (Method::GET, false) => ClientAction::Pending,
+            (Method::GET, false) => ClientAction::PendingCount,
             (Method::POST | Method::DELETE, false) => {
                 // Not a job path. The leader decides whether the queue exists.
-                ClientAction::Pending
+                ClientAction::PendingCount
             }
             _ => return error_reply(StatusCode::METHOD_NOT_ALLOWED, "only GET, POST and DELETE"),
         };
@@ -79,8 +79,8 @@
         };
         let path = call.path.clone();
         let timeout = timeout.saturating_sub(ANSWER_RESERVE);
-        let absent = self.link.absent(received);
-        let timeout = absent.map_or(timeout, |absent| timeout.min(leader_wait(absent)));
+        let leaderless = self.link.leaderless_for(received);
+        let timeout = leaderless.map_or(timeout, |leaderless| timeout.min(leader_wait(leaderless)));
         let reply = self.link.call(Call::Client(call), received + timeout).await;
         let took = received.elapsed();
         let outcome = outcome(&reply);
@@ -90,27 +90,27 @@
             info!(self.log, "request answered"; "path" => path.as_str(),
                 "outcome" => outcome, "took_ms" => took.as_millis() as u64);
         }
-        let absent = self.link.absent(Instant::now());
-        to_http(reply, retry_after(absent.unwrap_or_default()))
+        let leaderless = self.link.leaderless_for(Instant::now());
+        to_http(reply, retry_after(leaderless.unwrap_or_default()))
     }
 }
 
-fn outcome(reply: &Result<CallReply, NoAnswer>) -> &'static str {
+fn outcome(reply: &Result<CallReply, CallError>) -> &'static str {
     match reply {
         Ok(CallReply::Client(ClientReply::Accepted)) => "accepted",
-        Ok(CallReply::Client(ClientReply::State(_) | ClientReply::Pending(_))) => "read",
-        Ok(CallReply::Client(ClientReply::Gone)) => "unknown job",
+        Ok(CallReply::Client(ClientReply::State(_) | ClientReply::PendingCount(_))) => "read",
+        Ok(CallReply::Client(ClientReply::NotFound)) => "unknown job",
         Ok(CallReply::Client(ClientReply::NoQueue)) => "unknown queue",
         Ok(CallReply::Client(ClientReply::Unauthenticated)) => "unknown key",
         Ok(CallReply::Client(ClientReply::Invalid(_) | ClientReply::IdTaken)) => "invalid",
-        Ok(CallReply::Client(ClientReply::Unavailable(_))) | Err(NoAnswer::NotSent) => "not run",
-        Ok(CallReply::Client(ClientReply::InDoubt)) | Err(NoAnswer::InDoubt) => "in doubt",
+        Ok(CallReply::Client(ClientReply::Unavailable(_))) | Err(CallError::NotSent) => "not run",
+        Ok(CallReply::Client(ClientReply::InDoubt)) | Err(CallError::InDoubt) => "in doubt",
         Ok(CallReply::Operator(_) | CallReply::NotLeader(_)) => "no leader",
     }
 }
 
 /// `retry` is the value of `Retry-After` when no leader was reached.
-fn to_http(reply: Result<CallReply, NoAnswer>, retry: Duration) -> Reply {
+fn to_http(reply: Result<CallReply, CallError>, retry: Duration) -> Reply {
     let unavailable = |after| {
         retry_later(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -128,8 +128,8 @@
         Ok(CallReply::Client(reply)) => match reply {
             ClientReply::Accepted => empty(StatusCode::OK),
             ClientReply::State(state) => json(StatusCode::OK, &jobs::state(state)),
-            ClientReply::Pending(pending) => json(StatusCode::OK, &PendingBody { pending }),
-            ClientReply::Gone => error_reply(StatusCode::GONE, "there is no such job"),
+            ClientReply::PendingCount(pending) => json(StatusCode::OK, &PendingBody { pending }),
+            ClientReply::NotFound => error_reply(StatusCode::GONE, "there is no such job"),
             ClientReply::NoQueue => error_reply(StatusCode::NOT_FOUND, "there is no such queue"),
             ClientReply::Unauthenticated => unauthenticated(),
             ClientReply::IdTaken => {
@@ -139,10 +139,10 @@
             ClientReply::Unavailable(after) => unavailable(after),
             ClientReply::InDoubt => in_doubt(),
         },
-        Ok(CallReply::Operator(_) | CallReply::NotLeader(_)) | Err(NoAnswer::NotSent) => {
+        Ok(CallReply::Operator(_) | CallReply::NotLeader(_)) | Err(CallError::NotSent) => {
             unavailable(retry)
         }
-        Err(NoAnswer::InDoubt) => in_doubt(),
+        Err(CallError::InDoubt) => in_doubt(),
     }
 }
 
--- a/src/platform/jobs.rs
+++ b/src/platform/jobs.rs
@@ -141,7 +141,7 @@
         },
         image: body.image,
         latency_target: Some(duration("target_ms", body.target_ms)?).filter(|t| !t.is_zero()),
-        fills: body.fills,
+        uses_idle_cpu: body.fills,
         disruption_budget: nonzero(body.may_miss),
     })
 }
--- a/src/platform/minions.rs
+++ b/src/platform/minions.rs
@@ -13,11 +13,11 @@
 use super::rows::rows;
 use super::settings::Boot;
 use crate::batch::dispatch::{
-    Advice, AdviceQuestion, Answer, HoldAnswer, HoldOrder, ListedEnd, ListedRun, Listing, Silence,
-    StartOrder, StartRefusal, Target,
+    Advice, AdviceQuestion, Answer, CallFailure, HoldAnswer, HoldOrder, ListedEnd, ListedRun,
+    Listing, StartOrder, StartRefusal, Target,
 };
 use crate::batch::driver::{Minions, Policy};
-use crate::batch::link::Calls;
+use crate::batch::link::AgentCalls;
 use crate::batch::machine::parse_job_id;
 use crate::batch::model::{EndKind, MinionReport, Readiness, RunNumber, StepId, TaskId};
 use crate::ids::Term;
@@ -116,7 +116,7 @@
             .post(to.addr, path, Some(&to.id), body, ORDER_TIMEOUT);
         let (status, body) = match call.await {
             Ok(answered) => answered,
-            Err(failure) => return Answer::Silent(silence(failure)),
+            Err(failure) => return Answer::Silent(to_call_failure(failure)),
         };
         if status == StatusCode::MISDIRECTED_REQUEST {
             return Answer::OtherIncarnation;
@@ -131,7 +131,7 @@
             "fence" => StartRefusal::Fenced,
             "old" => StartRefusal::Superseded,
             "late" => StartRefusal::Late,
-            "room" => StartRefusal::NoRoom,
+            "room" => StartRefusal::InsufficientResources,
             "ticket" => StartRefusal::Ticket,
             _ => StartRefusal::Unhealthy,
         };
@@ -139,11 +139,11 @@
     }
 }
 
-fn silence(failure: Failure) -> Silence {
+fn to_call_failure(failure: Failure) -> CallFailure {
     match failure {
-        Failure::Refused => Silence::Refused,
-        Failure::Lost => Silence::Lost,
-        Failure::Broken => Silence::Broken,
+        Failure::Refused => CallFailure::Refused,
+        Failure::Lost => CallFailure::Lost,
+        Failure::Broken => CallFailure::Broken,
     }
 }
 
@@ -183,7 +183,7 @@
             .post(to.addr, "/yuccahold/hold", Some(&to.id), &body, timeout);
         let (status, body) = match call.await {
             Ok(answered) => answered,
-            Err(failure) => return HoldAnswer::Silent(silence(failure)),
+            Err(failure) => return HoldAnswer::Silent(to_call_failure(failure)),
         };
         if status == StatusCode::MISDIRECTED_REQUEST {
             return HoldAnswer::OtherIncarnation;
@@ -248,8 +248,8 @@
             "done" => EndKind::Done,
             "failed" => EndKind::Failed,
             "stopped" => EndKind::Stopped,
-            "broken" => EndKind::Broken,
-            "alone" => EndKind::Alone,
+            "broken" => EndKind::GangMemberLost,
+            "alone" => EndKind::GangIncomplete,
             // The run has ended for an unknown reason; it is not certain that an attempt was used.
             _ => EndKind::Lapsed,
         },
@@ -278,8 +278,8 @@
 }
 
 /// The calls that a daemon in platform mode can make on behalf of the leader.
-pub(super) fn calls(boot: &Boot, client: Client) -> Calls<MinionClient, PolicyClient> {
-    Calls {
+pub(super) fn calls(boot: &Boot, client: Client) -> AgentCalls<MinionClient, PolicyClient> {
+    AgentCalls {
         minions: MinionClient(client.clone()),
         policy: PolicyClient {
             client,
--- a/src/platform/operator.rs
+++ b/src/platform/operator.rs
@@ -12,8 +12,8 @@
 };
 use super::{config, minions};
 use crate::batch::calls::{Call, CallReply, OperatorReply, RETRY_AFTER};
-use crate::batch::link::NoAnswer;
-use crate::batch::server::ToLeader;
+use crate::batch::link::CallError;
+use crate::batch::server::LeaderClient;
 
 /// Largest accepted body: the platform contract's limit for a minion's report. Configurations with
 /// many routes are smaller.
@@ -24,7 +24,7 @@
 /// Forwards the requests of operators and minions to the leader.
 #[derive(Clone)]
 pub(super) struct ControlHandler {
-    pub(super) leader: ToLeader,
+    pub(super) leader: LeaderClient,
     pub(super) log: Logger,
 }
 
@@ -81,12 +81,12 @@
             }
             Ok(CallReply::Operator(OperatorReply::Unavailable))
             | Ok(CallReply::Client(_) | CallReply::NotLeader(_))
-            | Err(NoAnswer::NotSent) => retry_later(
+            | Err(CallError::NotSent) => retry_later(
                 StatusCode::SERVICE_UNAVAILABLE,
                 RETRY_AFTER,
                 "no leader can be reached",
             ),
-            Err(NoAnswer::InDoubt) => error_reply(
+            Err(CallError::InDoubt) => error_reply(
                 StatusCode::GATEWAY_TIMEOUT,
                 "the outcome is not known; send it again",
             ),
--- a/src/replication/machine.rs
+++ b/src/replication/machine.rs
@@ -31,7 +31,7 @@
 
     /// Returns a command of `lead` that was refused because the disk is full or leadership is being
     /// transferred. A state machine that depends on the command should return it from `lead` again.
-    fn not_taken(&mut self, _command: Vec<u8>) {}
+    fn rejected(&mut self, _command: Vec<u8>) {}
 
     /// Encodes the whole state.
     fn snapshot(&self) -> Vec<u8>;
--- a/src/replication/runtime/control.rs
+++ b/src/replication/runtime/control.rs
@@ -177,7 +177,7 @@
             let command = Bytes::from(command);
             let taken = self.core.propose(now, unix_now(), command.clone());
             if taken.is_err() {
-                self.machine.not_taken(command.into());
+                self.machine.rejected(command.into());
             }
         }
         self.core.replicate(now);
--- a/tests/batch_advice.rs
+++ b/tests/batch_advice.rs
@@ -8,13 +8,13 @@
 };
 use yuccahold::batch::dispatch::{Advice, AdviceQuestion, Listing, StartOrder};
 use yuccahold::batch::ledger::Command;
-use yuccahold::batch::model::{AdviceTerms, EndKind, Queue, StepSpec};
+use yuccahold::batch::model::{EndKind, PolicyConfig, Queue, StepSpec};
 use yuccahold::ids::MinionId;
 
 /// A queue whose tasks need tickets of the policy service.
 fn advised_queue() -> Queue {
     Queue {
-        advice: Some(AdviceTerms {
+        advice: Some(PolicyConfig {
             base: ms(100),
             per_minion: ms(1),
             validity: ms(2500),
--- a/tests/batch_claims.rs
+++ b/tests/batch_claims.rs
@@ -24,7 +24,7 @@
         prefix: "/renders/".into(),
         priority: 1,
         slo: ms(1_000),
-        stretch: 2.2,
+        slo_multiple: 2.2,
         ..queue()
     }
 }
@@ -35,7 +35,7 @@
         prefix: "/overlays/".into(),
         priority: 2,
         slo: ms(3_000),
-        stretch: 4.0,
+        slo_multiple: 4.0,
         ..queue()
     }
 }
@@ -123,7 +123,7 @@
     world.advance(ms(3_000));
     let tight_objective = Queue {
         slo: ms(0),
-        stretch: 0.85,
+        slo_multiple: 0.85,
         ..renders()
     };
     world.submit_to(2, tight_objective, vec![on_accelerators(1, 8, 4_000)]);
--- a/tests/batch_departures.rs
+++ b/tests/batch_departures.rs
@@ -7,7 +7,7 @@
 
 use batch_world::{JOB, World, config, draining, lasting, listed, ms, report};
 use yuccahold::batch::dispatch::{
-    DispatchConfig, HoldAnswer, HoldOrder, Listing, Silence, StartOrder,
+    CallFailure, DispatchConfig, HoldAnswer, HoldOrder, Listing, StartOrder,
 };
 use yuccahold::batch::model::MinionNumber;
 
@@ -69,11 +69,11 @@
 }
 
 fn lose_hold(world: &mut World, minion: MinionNumber, sent: Duration) {
-    leave_unanswered(world, minion, sent, Silence::Lost);
+    leave_unanswered(world, minion, sent, CallFailure::Lost);
 }
 
-fn leave_unanswered(world: &mut World, minion: MinionNumber, sent: Duration, silence: Silence) {
-    let answer = HoldAnswer::Silent(silence);
+fn leave_unanswered(world: &mut World, minion: MinionNumber, sent: Duration, failure: CallFailure) {
+    let answer = HoldAnswer::Silent(failure);
     let (now, ledger) = (world.now, &world.ledger);
     world.leader.held(now, minion, sent, answer, ledger);
     world.decide();
@@ -153,9 +153,13 @@
     world.leader.report(world.now, draining("i-1", 1));
     world.leader.minion_left(world.now, &"i-1".into());
     answer_holds(&mut world, minion, &start, ms(1_200));
-    for silence in [Silence::NotCalled, Silence::NotCalled, Silence::NotCalled] {
+    for failure in [
+        CallFailure::NotCalled,
+        CallFailure::NotCalled,
+        CallFailure::NotCalled,
+    ] {
         let now = world.now;
-        leave_unanswered(&mut world, minion, now, silence);
+        leave_unanswered(&mut world, minion, now, failure);
     }
     assert_eq!(world.take_starts(), []);
     world.list(minion, vec![listed(&start)], Vec::new());
--- a/tests/batch_leases.rs
+++ b/tests/batch_leases.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use batch_world::{JOB, World, lasting, ms, report, step};
-use yuccahold::batch::dispatch::{Answer, Listing, Silence};
+use yuccahold::batch::dispatch::{Answer, CallFailure, Listing};
 use yuccahold::batch::ledger::Command;
 use yuccahold::batch::model::{Configuration, Service};
 
@@ -68,7 +68,7 @@
     let cut = world.join("i-cut", 1);
     world.submit(JOB, vec![step(1, 1_000)]);
     let (_, lost) = world.take_starts().remove(0);
-    world.answer_start(cut, lost.task, lost.run, Answer::Silent(Silence::Lost));
+    world.answer_start(cut, lost.task, lost.run, Answer::Silent(CallFailure::Lost));
     world.take_starts();
     let other = world.join("i-other", 2);
     world.submit(JOB + 1, vec![step(8, 1_000)]);
--- a/tests/batch_ledger.rs
+++ b/tests/batch_ledger.rs
@@ -90,7 +90,7 @@
 #[case::failed_three_times(&[EndKind::Failed, EndKind::Failed, EndKind::Failed], JobState::Failed)]
 #[case::failed_twice_then_done(&[EndKind::Failed, EndKind::Failed, EndKind::Done], JobState::Done)]
 #[case::only_failed_ends_count(
-    &[EndKind::Stopped, EndKind::Lapsed, EndKind::Broken, EndKind::Failed, EndKind::Done],
+    &[EndKind::Stopped, EndKind::Lapsed, EndKind::GangMemberLost, EndKind::Failed, EndKind::Done],
     JobState::Done
 )]
 fn only_failed_runs_count_as_attempts(#[case] ends: &[EndKind], #[case] state: JobState) {
@@ -196,7 +196,7 @@
     let mut world = World::new();
     let minion = world.join("i-1", 1);
     world.submit(JOB, vec![step(1, 32_000)]);
-    let lost = Answer::Silent(yuccahold::batch::dispatch::Silence::Lost);
+    let lost = Answer::Silent(yuccahold::batch::dispatch::CallFailure::Lost);
     let mut tries = 0;
     while let Some((_, start)) = world.take_starts().pop() {
         assert_eq!(start.run, 1);
--- a/tests/batch_link.rs
+++ b/tests/batch_link.rs
@@ -10,10 +10,10 @@
 use tokio::time::{Instant, timeout};
 use yuccahold::batch::calls::{AgentMessage, Call, CallReply, OperatorReply, ServerMessage};
 use yuccahold::batch::dispatch::{
-    Advice, AdviceQuestion, Answer, HoldAnswer, HoldOrder, Silence, StartOrder, Target,
+    Advice, AdviceQuestion, Answer, CallFailure, HoldAnswer, HoldOrder, StartOrder, Target,
 };
 use yuccahold::batch::driver::{Minions, Policy};
-use yuccahold::batch::link::{Calls, LeaderLink, leader_wait, retry_after};
+use yuccahold::batch::link::{AgentCalls, LeaderLink, leader_wait, retry_after};
 use yuccahold::batch::model::{RunNumber, TaskId};
 use yuccahold::ids::Term;
 use yuccahold::wire::{self, CellKey, CellKeys};
@@ -30,15 +30,15 @@
 
 impl Minions for NoMinions {
     async fn start(&self, _: &Target, _: &StartOrder) -> Answer {
-        Answer::Silent(Silence::Lost)
+        Answer::Silent(CallFailure::Lost)
     }
 
     async fn stop(&self, _: &Target, _: TaskId, _: RunNumber, _: Term) -> Answer {
-        Answer::Silent(Silence::Lost)
+        Answer::Silent(CallFailure::Lost)
     }
 
     async fn hold(&self, _: &Target, _: &HoldOrder) -> HoldAnswer {
-        HoldAnswer::Silent(Silence::Lost)
+        HoldAnswer::Silent(CallFailure::Lost)
     }
 }
 
@@ -114,7 +114,7 @@
 }
 
 fn link_from(seed: SocketAddr) -> LeaderLink {
-    let calls = Calls {
+    let calls = AgentCalls {
         minions: NoMinions,
         policy: NoMinions,
         zone: "mixco".into(),
--- a/tests/batch_machine.rs
+++ b/tests/batch_machine.rs
@@ -52,7 +52,7 @@
         machine.apply(job, UNIX, &due_job(job));
         refused = machine.lead(NOW);
         for command in refused.clone() {
-            machine.not_taken(command);
+            machine.rejected(command);
         }
     }
     assert_eq!(refused.len(), 2);
@@ -80,7 +80,7 @@
     machine.leadership_changed(true, NOW);
     machine.apply(1, UNIX, &due_job(1));
     for command in machine.lead(NOW) {
-        machine.not_taken(command);
+        machine.rejected(command);
     }
     machine.leadership_changed(false, NOW);
     assert_eq!(machine.lead(NOW), Vec::<Vec<u8>>::new());
--- a/tests/batch_placement.rs
+++ b/tests/batch_placement.rs
@@ -10,7 +10,7 @@
 fn low_priority_queue() -> Queue {
     Queue {
         slo: ms(1200),
-        stretch: 2.2,
+        slo_multiple: 2.2,
         ..batch_world::low_priority_queue()
     }
 }
--- a/tests/batch_quota.rs
+++ b/tests/batch_quota.rs
@@ -6,7 +6,7 @@
     JOB, World, checkpointed, gang, lasting, listed, low_priority_queue, ms, queue, step,
 };
 use rstest::rstest;
-use yuccahold::batch::dispatch::{Answer, ListedEnd, Silence, StartOrder};
+use yuccahold::batch::dispatch::{Answer, CallFailure, ListedEnd, StartOrder};
 use yuccahold::batch::model::{EndKind, MinionNumber, StepSpec};
 
 /// A cell of eight minions with 32 cores each, where workspace `a` has a limit of ten cores.
@@ -77,7 +77,7 @@
     let (minion, start) = world.take_starts().pop().expect("a start");
     world.submit_for("a", JOB + 1, queue(), vec![step(1, 10_000)]);
     for _ in 0..4 {
-        let silent = Answer::Silent(Silence::Lost);
+        let silent = Answer::Silent(CallFailure::Lost);
         world.answer_start(minion, start.task, start.run, silent);
     }
     let others = world.take_starts();
@@ -122,7 +122,12 @@
     world.submit_for("a", JOB, queue(), vec![step(4, 1000)]);
     let (minion, start) = world.take_starts().pop().expect("a start");
     world.set_limits(2, &[("a", 2)]);
-    world.answer_start(minion, start.task, start.run, Answer::Silent(Silence::Lost));
+    world.answer_start(
+        minion,
+        start.task,
+        start.run,
+        Answer::Silent(CallFailure::Lost),
+    );
     assert_eq!(world.take_starts().len(), 0);
     assert_eq!(world.take_stops().len(), 1);
 }
--- a/tests/batch_waits.rs
+++ b/tests/batch_waits.rs
@@ -12,7 +12,7 @@
 };
 use rstest::rstest;
 use yuccahold::batch::dispatch::{Advice, AdviceQuestion, StartOrder};
-use yuccahold::batch::model::{AdviceTerms, JobId, MinionNumber, Queue, StepId, StepSpec, TaskId};
+use yuccahold::batch::model::{JobId, MinionNumber, PolicyConfig, Queue, StepId, StepSpec, TaskId};
 use yuccahold::ids::MinionId;
 
 /// Interval of simulated time between two decisions of the leader.
@@ -81,7 +81,7 @@
 
 fn advised(queue: Queue, base: u64, each: u64) -> Queue {
     Queue {
-        advice: Some(AdviceTerms {
+        advice: Some(PolicyConfig {
             base: ms(base),
             per_minion: ms(each),
             validity: ms(2_500),
--- a/tests/batch_workspaces.rs
+++ b/tests/batch_workspaces.rs
@@ -99,8 +99,8 @@
     match reply {
         ClientReply::Accepted => "accepted",
         ClientReply::State(_) => "state",
-        ClientReply::Pending(_) => "pending",
-        ClientReply::Gone => "gone",
+        ClientReply::PendingCount(_) => "pending",
+        ClientReply::NotFound => "gone",
         ClientReply::NoQueue => "no queue",
         ClientReply::Unauthenticated => "unauthenticated",
         ClientReply::IdTaken => "taken",
@@ -123,7 +123,7 @@
     let mut leader = Leader::with(TWO_WORKSPACES);
     assert_eq!(leader.submit(KEYED_JOB, key), expected);
     assert_eq!(leader.submit(PUBLIC_JOB, key), "accepted");
-    let pending = leader.call("/checks/", key, ClientAction::Pending);
+    let pending = leader.call("/checks/", key, ClientAction::PendingCount);
     assert_eq!(pending == "pending", expected == "accepted");
     assert_eq!(leader.submit("/none/00000000000000a1", key), "no queue");
 }
--- a/tests/batch_world/hosts.rs
+++ b/tests/batch_world/hosts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use yuccahold::batch::dispatch::{
-    Answer, HoldAnswer, HoldOrder, MinionAnswer, MinionOrder, Order, OrderKind, Silence,
+    Answer, CallFailure, HoldAnswer, HoldOrder, MinionAnswer, MinionOrder, Order, OrderKind,
     StartOrder, StartRefusal, Target,
 };
 use yuccahold::batch::model::{
@@ -258,7 +258,7 @@
             self.break_gang(task);
         }
         if let Some(hold) = inc.pending {
-            let answer = MinionAnswer::Hold(HoldAnswer::Silent(Silence::Broken));
+            let answer = MinionAnswer::Hold(HoldAnswer::Silent(CallFailure::Broken));
             self.answer(now + NET_DELAY, hold.to, OrderKind::Hold, hold.sent, answer);
         }
     }
@@ -272,7 +272,7 @@
         for inc in self.hosts.values_mut().filter_map(|h| h.inc.as_mut()) {
             let members: Vec<_> = inc.tasks().filter(|t| t.step == lost.step).collect();
             for member in members {
-                inc.end(member, EndKind::Broken);
+                inc.end(member, EndKind::GangMemberLost);
             }
         }
     }
@@ -374,7 +374,7 @@
         let is_start = matches!(order, MinionOrder::Start(_));
         let up = self.hosts[&target.addr.port()].inc.is_some();
         if is_start && up && !self.start_delay.is_zero() {
-            let lost = MinionAnswer::Order(Answer::Silent(Silence::Lost));
+            let lost = MinionAnswer::Order(Answer::Silent(CallFailure::Lost));
             self.answer(now + CALL_TIMEOUT, target.minion, order.kind(), now, lost);
             let at = now + self.start_delay;
             self.late_orders.push(LateOrder { at, target, order });
@@ -395,11 +395,11 @@
         let port = target.addr.port();
         let host = self.hosts.get_mut(&port)?;
         let Some(inc) = &mut host.inc else {
-            let silence = match order {
-                MinionOrder::Hold(_) => MinionAnswer::Hold(HoldAnswer::Silent(Silence::Lost)),
-                _ => MinionAnswer::Order(Answer::Silent(Silence::Lost)),
+            let failure = match order {
+                MinionOrder::Hold(_) => MinionAnswer::Hold(HoldAnswer::Silent(CallFailure::Lost)),
+                _ => MinionAnswer::Order(Answer::Silent(CallFailure::Lost)),
             };
-            return Some((CALL_TIMEOUT, silence));
+            return Some((CALL_TIMEOUT, failure));
         };
         let other = host.name != target.id.as_str();
         match order {
@@ -467,7 +467,7 @@
                 .push(format!("{task} brings {port} to {used:?} of {capacity:?}"));
         }
         if crasher && self.start_answer == StartAnswer::Lost {
-            let lost = MinionAnswer::Order(Answer::Silent(Silence::Lost));
+            let lost = MinionAnswer::Order(Answer::Silent(CallFailure::Lost));
             return (CALL_TIMEOUT, lost);
         }
         (NET_DELAY, MinionAnswer::Order(answer))
--- a/tests/batch_world/mod.rs
+++ b/tests/batch_world/mod.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use yuccahold::batch::dispatch::{
-    AdviceQuestion, Answer, DispatchConfig, Dispatcher, HoldAnswer, HoldOrder, ListedEnd,
-    ListedRun, Listing, Mechanisms, MinionOrder, Order, Silence, StartOrder,
+    AdviceQuestion, Answer, CallFailure, DispatchConfig, Dispatcher, HoldAnswer, HoldOrder,
+    ListedEnd, ListedRun, Listing, Mechanisms, MinionOrder, Order, StartOrder,
 };
 use yuccahold::batch::ledger::{Batch, Command, Ledger};
 use yuccahold::batch::model::{
@@ -48,7 +48,7 @@
         prefix: "/checks/".into(),
         timeout: ms(3000),
         slo: ms(250),
-        stretch: 1.5,
+        slo_multiple: 1.5,
         priority: 0,
         service: "desk".into(),
         attempts: 3,
@@ -410,7 +410,7 @@
 
     /// Lets the hold in flight fail without an answer.
     pub fn silent_hold(&mut self, minion: MinionNumber) {
-        let answer = HoldAnswer::Silent(Silence::Lost);
+        let answer = HoldAnswer::Silent(CallFailure::Lost);
         self.leader
             .held(self.now, minion, self.now, answer, &self.ledger);
         self.decide();
