--- a/src/control/entries.rs
+++ b/src/control/entries.rs
@@ -91,7 +91,7 @@
         }
         if commands.is_empty() && report.leaving && self.cell.owned_by(entry) == 0 {
             if let Some(leader) = &mut self.leader {
-                leader.entries.give_up(entry, hello.process);
+                leader.entries.release(entry, hello.process);
             }
             commands.push(Command::EntryDown {
                 entry: entry.clone(),
@@ -111,7 +111,7 @@
             // Unlike a worker's, a minion's process may be replaced without waiting for a lease:
             // only the owning entry host sends it requests, and it gets the change in its feed.
             if let Some(leader) = &mut self.leader {
-                leader.minions.forget(&minion.id);
+                leader.minions.remove(&minion.id);
             }
             return RenewStep::Propose(vec![Command::AnnounceMinion(minion)]);
         }
--- a/src/control/machine.rs
+++ b/src/control/machine.rs
@@ -179,17 +179,17 @@
                     .set_objectives(&self.cell.document().objectives);
             }
             Command::WorkerDown { worker, .. } => {
-                leader.workers.forget(worker);
+                leader.workers.remove(worker);
                 leader.unsent.remove(worker);
                 leader.sent_stops.remove(worker);
                 leader.sequences.remove(worker);
                 leader.run_lists.remove(worker);
             }
             Command::EntryDown { entry, .. } => {
-                leader.entries.forget(entry);
+                leader.entries.remove(entry);
                 leader.in_force.remove(entry);
             }
-            Command::MinionDown { minion, .. } => leader.minions.forget(minion),
+            Command::MinionDown { minion, .. } => leader.minions.remove(minion),
             _ => {}
         }
     }
@@ -294,16 +294,17 @@
     fn assume_leases(&mut self, cell: &Cell, now: Timestamp) {
         let ttl = cell.document().policy.lease;
         for (number, worker) in &cell.workers {
-            self.workers.assume(*number, worker.process, now, ttl);
+            self.workers
+                .assume_granted(*number, worker.process, now, ttl);
         }
         for (id, entry) in &cell.entries {
             self.entries
-                .assume(id.clone(), entry.process, now, ENTRY_LEASE);
+                .assume_granted(id.clone(), entry.process, now, ENTRY_LEASE);
         }
         for (id, minion) in &cell.minions {
             let announced = &minion.announced;
             self.minions
-                .assume(id.clone(), announced.process, now, announced.ttl);
+                .assume_granted(id.clone(), announced.process, now, announced.ttl);
         }
     }
 
@@ -324,6 +325,6 @@
 
     /// Process that holds the entry host's lease.
     pub(super) fn process_of_entry(&self, entry: &EntryId) -> Option<ProcessId> {
-        self.entries.holder(entry)
+        self.entries.active_process(entry)
     }
 }
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -149,7 +149,7 @@
         commands.push(Command::WorkerLeaving(number));
     }
     if poll.leaving && record.leaving && record.runs.is_empty() && poll.running.is_empty() {
-        leader.workers.give_up(&number, poll.process);
+        leader.workers.release(&number, poll.process);
         commands.push(Command::WorkerDown {
             worker: number,
             process: poll.process,
--- a/src/control/tables.rs
+++ b/src/control/tables.rs
@@ -13,7 +13,7 @@
     pub fn worker_rows(&self, now: Timestamp) -> Vec<WorkerRow> {
         let leader = self.leader.as_ref();
         self.cell.worker_rows(|number| {
-            let silent = leader.and_then(|leader| leader.workers.silent(&number, now));
+            let silent = leader.and_then(|leader| leader.workers.time_since_renewal(&number, now));
             silent.unwrap_or(Duration::ZERO)
         })
     }
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -6,4 +6,4 @@
 
 mod table;
 
-pub use table::{DRIFT_DIVISOR, LeaseTable, grantor_span};
+pub use table::{DRIFT_DIVISOR, LeaseTable, grantor_ttl};
--- a/src/lease/table.rs
+++ b/src/lease/table.rs
@@ -10,15 +10,15 @@
 
 /// Time from the last renewal until the grantor may declare a lease of this `ttl` expired, with
 /// allowance for clock drift.
-pub fn grantor_span(ttl: Duration) -> Duration {
+pub fn grantor_ttl(ttl: Duration) -> Duration {
     ttl + ttl / DRIFT_DIVISOR
 }
 
 /// Leases by holder.
 ///
 /// Renewals are not written to the log. A new leader has no record of its predecessor's grants, so
-/// it calls [`LeaseTable::assume`] for every holder in the replicated state: any earlier grant has
-/// expired one full [`grantor_span`] after it began to lead.
+/// it calls [`LeaseTable::assume_granted`] for every holder in the replicated state: any earlier grant
+/// has expired one full [`grantor_ttl`] after it began to lead.
 #[derive(Clone, Debug)]
 pub struct LeaseTable<K> {
     leases: BTreeMap<K, Lease>,
@@ -42,7 +42,7 @@
 
 impl<K: Ord + Clone> LeaseTable<K> {
     /// Records a lease that a previous leader may have granted, as if it was granted at `now`.
-    pub fn assume(&mut self, holder: K, process: ProcessId, now: Timestamp, ttl: Duration) {
+    pub fn assume_granted(&mut self, holder: K, process: ProcessId, now: Timestamp, ttl: Duration) {
         let lease = Lease {
             process,
             renewed: now,
@@ -57,7 +57,7 @@
     /// since the holder's work may already have been given to another.
     pub fn renew(&mut self, holder: &K, process: ProcessId, now: Timestamp, ttl: Duration) -> bool {
         let Some(lease) = self.leases.get_mut(holder) else {
-            self.assume(holder.clone(), process, now, ttl);
+            self.assume_granted(holder.clone(), process, now, ttl);
             return true;
         };
         if lease.process != process || lease.declared_expired {
@@ -75,7 +75,7 @@
     pub fn expire(&mut self, now: Timestamp) -> Vec<(K, ProcessId)> {
         let mut expired = Vec::new();
         for (holder, lease) in &mut self.leases {
-            if !lease.declared_expired && now > lease.renewed + grantor_span(lease.ttl) {
+            if !lease.declared_expired && now > lease.renewed + grantor_ttl(lease.ttl) {
                 lease.declared_expired = true;
                 expired.push((holder.clone(), lease.process));
             }
@@ -84,7 +84,7 @@
     }
 
     /// Declares a process's lease expired early because the holder has released it.
-    pub fn give_up(&mut self, holder: &K, process: ProcessId) {
+    pub fn release(&mut self, holder: &K, process: ProcessId) {
         let lease = self.leases.get_mut(holder);
         if let Some(lease) = lease.filter(|lease| lease.process == process) {
             lease.declared_expired = true;
@@ -92,12 +92,12 @@
     }
 
     /// Removes a lease whose end is in the replicated state or whose process was replaced.
-    pub fn forget(&mut self, holder: &K) {
+    pub fn remove(&mut self, holder: &K) {
         self.leases.remove(holder);
     }
 
     /// The process whose lease has not been declared expired.
-    pub fn holder(&self, holder: &K) -> Option<ProcessId> {
+    pub fn active_process(&self, holder: &K) -> Option<ProcessId> {
         let lease = self
             .leases
             .get(holder)
@@ -106,7 +106,7 @@
     }
 
     /// Time since the last renewal; `None` if the holder has no lease.
-    pub fn silent(&self, holder: &K, now: Timestamp) -> Option<Duration> {
+    pub fn time_since_renewal(&self, holder: &K, now: Timestamp) -> Option<Duration> {
         let lease = self.leases.get(holder)?;
         Some(now.saturating_sub(lease.renewed))
     }
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -5,7 +5,7 @@
 
 use yuccahold::control::{Command, ENTRY_LEASE, Machine, PollMode, PollStep, RenewStep};
 use yuccahold::document::{Document, JobKind, Objective, ObjectiveTarget};
-use yuccahold::lease::grantor_span;
+use yuccahold::lease::grantor_ttl;
 use yuccahold::placement::FirstFit;
 use yuccahold::replication::StateMachine;
 use yuccahold::resources::Resources;
@@ -150,7 +150,7 @@
 
 /// Time after which the leader treats an unrenewed worker lease as expired.
 fn expiry() -> Duration {
-    grantor_span(LEASE) + Duration::from_millis(1)
+    grantor_ttl(LEASE) + Duration::from_millis(1)
 }
 
 #[test]
@@ -383,7 +383,7 @@
     let mut leader = Leader::new();
     assert_eq!(renew(&mut leader, 1), Some(ENTRY_LEASE));
     assert_eq!(renew(&mut leader, 2), None);
-    leader.pass(grantor_span(ENTRY_LEASE) + Duration::from_millis(1));
+    leader.pass(grantor_ttl(ENTRY_LEASE) + Duration::from_millis(1));
     assert_eq!(renew(&mut leader, 1), Some(ENTRY_LEASE));
     assert_eq!(renew(&mut leader, 2), None);
 }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -27,7 +27,7 @@
     table.renew(&"w", 1, ms(0), TTL);
     assert_eq!(table.expire(ms(10_101)), vec![("w", 1)]);
     assert!(!table.renew(&"w", 1, ms(10_102), TTL));
-    table.forget(&"w");
+    table.remove(&"w");
     assert!(table.renew(&"w", 1, ms(10_103), TTL));
 }
 
@@ -52,7 +52,7 @@
             while now < received {
                 for _ in table.expire(ms(now)) {
                     prop_assert!(now >= holder_until);
-                    table.forget(&"w");
+                    table.remove(&"w");
                 }
                 now += step;
             }
