--- a/benches/placement.rs
+++ b/benches/placement.rs
@@ -58,11 +58,11 @@
     let mut now = Duration::from_secs(1000);
     let (mut out, mut runs) = (Vec::new(), Vec::new());
     for i in 0..workers {
-        placer.handle(now, Event::WorkerUp(worker(i)));
+        placer.apply(now, Event::WorkerUp(worker(i)));
     }
     for i in 0..workers * PER_WORKER / 10 {
         let spec = spec(format!("fill-{i}"), 10, &mut rng);
-        placer.handle(now, Event::JobArrived { spec, at: now });
+        placer.apply(now, Event::JobArrived { spec, at: now });
     }
     while {
         placer.decide(now, 4096, &mut out);
@@ -78,8 +78,8 @@
         let spec = spec(format!("job-{i}"), 1, &mut rng);
         let began = Instant::now();
         let end = RunEnd::Done;
-        placer.handle(now, Event::RunEnded { run, worker, end });
-        placer.handle(now, Event::JobArrived { spec, at: now });
+        placer.apply(now, Event::RunEnded { run, worker, end });
+        placer.apply(now, Event::JobArrived { spec, at: now });
         placer.decide(now, 4096, &mut out);
         let took = began.elapsed();
         spent += took;
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -130,16 +130,16 @@
                     reason,
                 }));
             }
-            Decision::NeverRuns { job, reason } => {
+            Decision::Unschedulable { job, reason } => {
                 let reason = CompactString::from(reason);
-                commands.push(Command::NeverRuns { job, reason });
+                commands.push(Command::MarkUnschedulable { job, reason });
             }
-            Decision::GiveUp { job, reason } => {
+            Decision::FailJob { job, reason } => {
                 let reason = CompactString::from(reason);
-                commands.push(Command::GiveUp { job, reason });
+                commands.push(Command::FailJob { job, reason });
             }
             Decision::Quarantine(id) => commands.extend(quarantine(cell, &id, true)),
-            Decision::Release(id) => commands.extend(quarantine(cell, &id, false)),
+            Decision::EndQuarantine(id) => commands.extend(quarantine(cell, &id, false)),
         }
     }
     commands.extend(batch.into_commands());
--- a/src/control/machine.rs
+++ b/src/control/machine.rs
@@ -129,7 +129,7 @@
             return;
         };
         for event in events {
-            leader.placer.handle(clock, event);
+            leader.placer.apply(clock, event);
         }
         for worker in touched {
             if let Some(waker) = leader.wakers.get(&worker) {
@@ -239,7 +239,7 @@
         self.cell.take_changed_workers();
         let mut leader = LeaderState::new((self.make_placer)(), now, self.cell.clock);
         for event in self.cell.replayed_events() {
-            leader.placer.handle(self.cell.clock, event);
+            leader.placer.apply(self.cell.clock, event);
         }
         leader.assume_leases(&self.cell, now);
         leader
--- a/src/control/polls.rs
+++ b/src/control/polls.rs
@@ -218,7 +218,7 @@
                 accelerators: 0,
             };
             let run = usage.run.clone();
-            self.placer.handle(clock, Event::Usage { run, used });
+            self.placer.apply(clock, Event::Usage { run, used });
         }
     }
 }
--- a/src/placement/baseline.rs
+++ b/src/placement/baseline.rs
@@ -60,7 +60,7 @@
 }
 
 impl BaselineState {
-    fn handle(&mut self, event: Event) {
+    fn apply(&mut self, event: Event) {
         self.changed = true;
         match event {
             Event::WorkerUp(spec) => {
@@ -110,7 +110,7 @@
         let spec = self.cell.job(ix).spec.clone();
         if let Some(reason) = never::reason(&self.cell, &spec) {
             let job = spec.name.clone();
-            self.pending.push(Decision::NeverRuns { job, reason });
+            self.pending.push(Decision::Unschedulable { job, reason });
             return;
         }
         self.queue(ix);
@@ -177,7 +177,7 @@
             let name = job.spec.name.clone();
             self.waiting.remove(&seq);
             let reason = format!("task {} failed too often", r.index);
-            self.pending.push(Decision::GiveUp { job: name, reason });
+            self.pending.push(Decision::FailJob { job: name, reason });
             return;
         }
         self.member_lost(r.job);
@@ -317,8 +317,8 @@
 }
 
 impl Placer for FirstFit {
-    fn handle(&mut self, _now: Timestamp, event: Event) {
-        self.state.handle(event);
+    fn apply(&mut self, _now: Timestamp, event: Event) {
+        self.state.apply(event);
     }
 
     fn decide(&mut self, now: Timestamp, limit: usize, out: &mut Vec<Decision>) {
@@ -334,8 +334,8 @@
 }
 
 impl Placer for RandomOfK {
-    fn handle(&mut self, _now: Timestamp, event: Event) {
-        self.state.handle(event);
+    fn apply(&mut self, _now: Timestamp, event: Event) {
+        self.state.apply(event);
     }
 
     fn decide(&mut self, now: Timestamp, limit: usize, out: &mut Vec<Decision>) {
--- a/src/placement/cell.rs
+++ b/src/placement/cell.rs
@@ -216,7 +216,7 @@
             backing_off: 0,
             running: 0,
             closed: false,
-            never_runs: None,
+            unschedulable: None,
             failed_on: Vec::new(),
             preemption_holds: 0,
             holds: 0,
--- a/src/placement/events.rs
+++ b/src/placement/events.rs
@@ -60,16 +60,16 @@
             self.cell.worker_mut(ix).drain = Some(deadline);
             self.cell.reindex(ix);
         }
-        self.recheck_never_runs();
+        self.recheck_unschedulable();
         self.wake_fitting(ix);
     }
 
     /// Checks again the jobs that fitted on no worker.
-    fn recheck_never_runs(&mut self) {
-        for (ix, seq) in std::mem::take(&mut self.never_runs) {
+    fn recheck_unschedulable(&mut self) {
+        for (ix, seq) in std::mem::take(&mut self.unschedulable) {
             let found = self.cell.jobs[ix as usize].as_ref();
             if found.is_some_and(|job| job.seq == seq && !job.closed) {
-                self.cell.job_mut(ix).never_runs = None;
+                self.cell.job_mut(ix).unschedulable = None;
                 self.admit(ix);
             }
         }
@@ -92,12 +92,12 @@
         job.queue_time = queue_time;
         let (spec, seq) = (job.spec.clone(), job.seq);
         if let Some(reason) = never::reason(&self.cell, &spec) {
-            self.pending.push(Decision::NeverRuns {
+            self.pending.push(Decision::Unschedulable {
                 job: spec.name.clone(),
                 reason: reason.clone(),
             });
-            self.cell.job_mut(ix).never_runs = Some(reason);
-            self.never_runs.push((ix, seq));
+            self.cell.job_mut(ix).unschedulable = Some(reason);
+            self.unschedulable.push((ix, seq));
             return;
         }
         self.enqueue(ix);
@@ -321,20 +321,20 @@
                     "task {} of the gang was lost and its tasks may not start twice",
                     r.index
                 );
-                self.give_up(r.job, name, reason);
+                self.fail_job(r.job, name, reason);
             }
             MemberLoss::Fail => {
                 let reason = format!("task {} of the gang was lost", r.index);
-                self.give_up(r.job, name, reason);
+                self.fail_job(r.job, name, reason);
             }
         }
     }
 
     /// Fails a job for good and stops the runs of a gang.
-    pub(crate) fn give_up(&mut self, ix: JobIx, job: crate::ids::JobName, reason: String) {
+    pub(crate) fn fail_job(&mut self, ix: JobIx, job: crate::ids::JobName, reason: String) {
         self.dequeue(ix);
         self.drop_job_holds(ix);
-        self.pending.push(Decision::GiveUp { job, reason });
+        self.pending.push(Decision::FailJob { job, reason });
         self.cell.job_mut(ix).closed = true;
         if self.cell.job(ix).spec.class == WorkClass::Gang {
             self.stop_all(ix, StopReason::GangBroken);
--- a/src/placement/explain.rs
+++ b/src/placement/explain.rs
@@ -28,7 +28,7 @@
         if job.closed {
             return None;
         }
-        if let Some(reason) = &job.never_runs {
+        if let Some(reason) = &job.unschedulable {
             return Some(format!("It can never run in this cell as it is: {reason}."));
         }
         if job.waiting.is_empty() {
--- a/src/placement/faults.rs
+++ b/src/placement/faults.rs
@@ -62,7 +62,7 @@
         self.quarantined.retain(|&other| other != ix);
         self.cell.reindex(ix);
         let id = self.cell.worker(ix).spec.id.clone();
-        self.pending.push(Decision::Release(id));
+        self.pending.push(Decision::EndQuarantine(id));
         self.wake_fitting(ix);
     }
 
@@ -83,10 +83,10 @@
         if !job_at_fault && !kind_at_fault {
             self.count_worker_failure(now, run.worker, r);
         }
-        self.give_up_if_exhausted(r);
+        self.fail_job_if_exhausted(r);
     }
 
-    fn give_up_if_exhausted(&mut self, r: RunRef) {
+    fn fail_job_if_exhausted(&mut self, r: RunRef) {
         let job = self.cell.job(r.job);
         let failures = job.tasks[r.index as usize].failures;
         if job.closed || job.long_running() || failures < job.spec.max_attempts.max(1) {
@@ -102,7 +102,7 @@
             job.spec.max_attempts.max(1),
         );
         let name = job.spec.name.clone();
-        self.give_up(r.job, name, reason);
+        self.fail_job(r.job, name, reason);
     }
 
     /// Counts a failure against the worker, which is quarantined once enough different jobs failed
--- a/src/placement/interface.rs
+++ b/src/placement/interface.rs
@@ -145,14 +145,14 @@
         reason: StopReason,
     },
     /// A job does not fit on any worker of this cell, even an empty one.
-    NeverRuns {
+    Unschedulable {
         /// The scheduler checks it again when a worker joins.
         job: JobName,
         /// One sentence: the resource that is short, and the workers that come nearest.
         reason: String,
     },
     /// A job has failed for good: its attempts are used up, or its gang's rule says so.
-    GiveUp {
+    FailJob {
         /// None of its tasks starts again.
         job: JobName,
         /// One sentence.
@@ -161,7 +161,7 @@
     /// A worker on which several jobs failed gets no tasks except trials.
     Quarantine(WorkerId),
     /// A worker leaves quarantine.
-    Release(WorkerId),
+    EndQuarantine(WorkerId),
 }
 
 /// Why a run is stopped or throttled.
@@ -186,7 +186,7 @@
 /// Common interface of the scheduler and the baselines it is compared with.
 pub trait Placer {
     /// Applies a change of the cell's state.
-    fn handle(&mut self, now: Timestamp, event: Event);
+    fn apply(&mut self, now: Timestamp, event: Event);
 
     /// Appends the decisions valid at `now`, with at most `limit` starts.
     fn decide(&mut self, now: Timestamp, limit: usize, out: &mut Vec<Decision>);
--- a/src/placement/records.rs
+++ b/src/placement/records.rs
@@ -186,7 +186,7 @@
     /// Cancelled or failed for good: none of its tasks starts again.
     pub(crate) closed: bool,
     /// Why the job does not fit on any worker, once that has been reported.
-    pub(crate) never_runs: Option<String>,
+    pub(crate) unschedulable: Option<String>,
     /// Workers on which the job failed.
     pub(crate) failed_on: Vec<WorkerIx>,
     /// Number of tasks for which runs are being preempted.
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -58,7 +58,7 @@
     /// Jobs (with their `seq`) whose runs of an older specification are being replaced.
     pub(crate) updating: Vec<(JobIx, u64)>,
     /// Jobs (with their `seq`) that do not fit on any worker of this cell, even an empty one.
-    pub(crate) never_runs: Vec<(JobIx, u64)>,
+    pub(crate) unschedulable: Vec<(JobIx, u64)>,
     pub(crate) next_sweep: Timestamp,
 }
 
@@ -95,7 +95,7 @@
             headroom_blocked: Vec::new(),
             quick_usage: super::headroom::QuickUsage::default(),
             updating: Vec::new(),
-            never_runs: Vec::new(),
+            unschedulable: Vec::new(),
             next_sweep: Timestamp::ZERO,
         }
     }
@@ -103,7 +103,7 @@
     /// Puts a job with waiting tasks into its queue and makes the queue ready.
     pub(crate) fn enqueue(&mut self, ix: JobIx) {
         let job = self.cell.job(ix);
-        if job.closed || job.never_runs.is_some() || job.waiting.is_empty() {
+        if job.closed || job.unschedulable.is_some() || job.waiting.is_empty() {
             return;
         }
         if job.queue.is_none() {
@@ -417,7 +417,7 @@
 }
 
 impl Placer for Scheduler {
-    fn handle(&mut self, now: Timestamp, event: Event) {
+    fn apply(&mut self, now: Timestamp, event: Event) {
         self.apply_event(now, event);
     }
 
--- a/src/replay/engine/decisions.rs
+++ b/src/replay/engine/decisions.rs
@@ -63,12 +63,12 @@
                 }
                 self.stop(key, how);
             }
-            Decision::NeverRuns { job, .. } => {
+            Decision::Unschedulable { job, .. } => {
                 if let Some(&ix) = self.ledger.job_ix.get(&job) {
                     self.ledger.set_never(ix, true);
                 }
             }
-            Decision::GiveUp { job, .. } => {
+            Decision::FailJob { job, .. } => {
                 if let Some(&ix) = self.ledger.job_ix.get(&job) {
                     self.ledger.close(ix, Final::Dropped);
                     self.measures.given_up.insert(job);
@@ -77,7 +77,7 @@
             Decision::Quarantine(worker) => {
                 self.measures.quarantined.insert(worker);
             }
-            Decision::Release(worker) => {
+            Decision::EndQuarantine(worker) => {
                 self.measures.released.insert(worker);
             }
         }
--- a/src/replay/engine/mod.rs
+++ b/src/replay/engine/mod.rs
@@ -172,7 +172,7 @@
     /// Hands an event to the placer and times it.
     fn feed(&mut self, event: Event) {
         let began = Instant::now();
-        self.placer.handle(self.ledger.now, event);
+        self.placer.apply(self.ledger.now, event);
         self.measures.handled(began.elapsed());
     }
 
--- a/src/state/commands/jobs.rs
+++ b/src/state/commands/jobs.rs
@@ -132,7 +132,7 @@
         self.job_reply(name)
     }
 
-    pub(super) fn give_up(&mut self, name: &JobName, reason: CompactString) -> Reply {
+    pub(super) fn fail_job(&mut self, name: &JobName, reason: CompactString) -> Reply {
         let Some((number, job)) = self.job(name) else {
             return Reply::Ok;
         };
@@ -143,7 +143,7 @@
         Reply::Ok
     }
 
-    pub(super) fn never_runs(&mut self, name: &JobName, reason: CompactString) -> Reply {
+    pub(super) fn mark_unschedulable(&mut self, name: &JobName, reason: CompactString) -> Reply {
         let Some((number, _)) = self.job(name) else {
             return Reply::Ok;
         };
--- a/src/state/commands/mod.rs
+++ b/src/state/commands/mod.rs
@@ -62,14 +62,14 @@
     /// Orders runs to stop, checkpoint or throttle.
     Stop(Vec<RunOrder>),
     /// Fails a job, for example after its attempts are used up.
-    GiveUp {
+    FailJob {
         /// The job.
         job: JobName,
         /// One sentence, shown to callers.
         reason: CompactString,
     },
     /// Marks a job that can't run with the cell's present workers.
-    NeverRuns {
+    MarkUnschedulable {
         /// The job.
         job: JobName,
         /// One sentence, shown to callers.
@@ -242,8 +242,8 @@
             Self::CancelJob { job, who } => cell.cancel_and_audit(&job, &who),
             Self::Place(place) => cell.place(&place),
             Self::Stop(orders) => cell.order_runs(&orders),
-            Self::GiveUp { job, reason } => cell.give_up(&job, reason),
-            Self::NeverRuns { job, reason } => cell.never_runs(&job, reason),
+            Self::FailJob { job, reason } => cell.fail_job(&job, reason),
+            Self::MarkUnschedulable { job, reason } => cell.mark_unschedulable(&job, reason),
             Self::Quarantine { worker, on } => cell.quarantine(worker, on),
             Self::WorkerUp { spec, process } => cell.worker_up(spec, process),
             Self::WorkerDown {
--- a/tests/placement_rules.rs
+++ b/tests/placement_rules.rs
@@ -47,7 +47,7 @@
 
 fn arrive(placer: &mut impl Placer, now: Timestamp, spec: JobSpec) {
     let spec = Arc::new(spec);
-    placer.handle(now, Event::JobArrived { spec, at: now });
+    placer.apply(now, Event::JobArrived { spec, at: now });
 }
 
 fn decide(placer: &mut impl Placer, now: Timestamp) -> Vec<Decision> {
@@ -77,11 +77,11 @@
 fn end(placer: &mut impl Placer, now: Timestamp, started: &(TaskRun, String), end: RunEnd) {
     let (run, worker) = started.clone();
     let worker = worker.into();
-    placer.handle(now, Event::RunEnded { run, worker, end });
+    placer.apply(now, Event::RunEnded { run, worker, end });
 }
 
 fn check_fill_and_refill(placer: &mut impl Placer) {
-    placer.handle(T0, worker("w1", "bern-a", 8, 8000));
+    placer.apply(T0, worker("w1", "bern-a", 8, 8000));
     arrive(placer, T0, job("plan", 3, 4));
     let first = starts(&decide(placer, T0));
     assert_eq!(first.len(), 2);
@@ -107,7 +107,7 @@
 fn two_competing_gangs_start_one_after_the_other() {
     let mut s = Scheduler::new(1);
     for name in ["w1", "w2", "w3", "w4"] {
-        s.handle(T0, worker(name, "bern-a", 8, 8000));
+        s.apply(T0, worker(name, "bern-a", 8, 8000));
     }
     arrive(&mut s, T0, job("small", 2, 8));
     let small = starts(&decide(&mut s, T0));
@@ -139,7 +139,7 @@
 fn a_gang_with_a_refused_start_restarts_as_a_whole() {
     let mut s = Scheduler::new(1);
     for name in ["w1", "w2", "w3"] {
-        s.handle(T0, worker(name, "bern-a", 8, 8000));
+        s.apply(T0, worker(name, "bern-a", 8, 8000));
     }
     let mut spec = job("sew", 2, 8);
     spec.class = WorkClass::Gang;
@@ -148,9 +148,9 @@
     let first = starts(&decide(&mut s, T0));
     assert_eq!(first.len(), 2);
     let (run, lost) = first[0].clone();
-    s.handle(at(1), Event::WorkerDown(lost.as_str().into()));
+    s.apply(at(1), Event::WorkerDown(lost.as_str().into()));
     let worker = lost.as_str().into();
-    s.handle(at(1), Event::StartRefused { run, worker });
+    s.apply(at(1), Event::StartRefused { run, worker });
     let broken = decide(&mut s, at(1));
     assert_eq!(
         stops(&broken),
@@ -171,7 +171,7 @@
 #[test]
 fn a_restored_placer_keeps_earlier_grants() {
     let mut s = Scheduler::new(2);
-    s.handle(T0, worker("w1", "bern-a", 8, 8000));
+    s.apply(T0, worker("w1", "bern-a", 8, 8000));
     let task = |index, attempt, state| RestoredTask {
         task: TaskId {
             job: "plan".into(),
@@ -198,7 +198,7 @@
         at: T0,
         tasks,
     };
-    s.handle(at(5), restored);
+    s.apply(at(5), restored);
     let first = starts(&decide(&mut s, at(5)));
     assert_eq!(first.len(), 1);
     let old = TaskRun {
@@ -231,7 +231,7 @@
     #[case] again: bool,
 ) {
     let mut s = Scheduler::new(1);
-    s.handle(T0, worker("w1", "bern-a", 8, 8000));
+    s.apply(T0, worker("w1", "bern-a", 8, 8000));
     let mut spec = job("payment", 1, 4);
     spec.idempotent = false;
     spec.checkpoint = true;
@@ -246,7 +246,7 @@
 #[test]
 fn an_urgent_task_preempts_a_run_with_checkpoints() {
     let mut s = Scheduler::new(1);
-    s.handle(T0, worker("w1", "bern-a", 8, 8000));
+    s.apply(T0, worker("w1", "bern-a", 8, 8000));
     let mut saving = job("plan", 1, 4);
     saving.checkpoint = true;
     arrive(&mut s, T0, saving);
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -72,15 +72,15 @@
 }
 
 impl Placer for Faulty {
-    fn handle(&mut self, now: Timestamp, event: Event) {
+    fn apply(&mut self, now: Timestamp, event: Event) {
         match (self.fault, event) {
             (Fault::IgnoreDrain, Event::DrainStarted { .. }) => {}
             (Fault::IgnoreCancel, Event::JobCancelled(_)) => {}
             (Fault::Overfill, Event::WorkerUp(mut spec)) => {
                 spec.capacity = Resources::new(1000, 1_000_000, 0);
-                self.inner.handle(now, Event::WorkerUp(spec));
+                self.inner.apply(now, Event::WorkerUp(spec));
             }
-            (_, event) => self.inner.handle(now, event),
+            (_, event) => self.inner.apply(now, event),
         }
     }
 
