--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -383,7 +383,7 @@
     let need = demand(&step.spec.steps[usize::from(id.step)]);
     let places: u32 = named.iter().map(|(_, places)| places).sum();
     let each = f64::from(step.waiting.len() as u32) / f64::from(places.max(1));
-    let room = |places: u32| need.part(each.min(1.0) * f64::from(places));
+    let room = |places: u32| need.scaled_by(each.min(1.0) * f64::from(places));
     named
         .iter()
         .map(|(n, places)| (*n, room(*places)))
--- a/src/batch/dispatch/forecast.rs
+++ b/src/batch/dispatch/forecast.rs
@@ -9,7 +9,7 @@
 use super::run::{Run, RunState, StopState};
 use crate::batch::model::MinionNumber;
 use crate::ids::Timestamp;
-use crate::placement::end_from_now;
+use crate::placement::expected_end;
 use crate::resources::Resources;
 
 /// Progress, in percent of a run's work, between two listings from which on the remaining time is
@@ -63,7 +63,7 @@
         let begun = self.begun.unwrap_or(self.proposed);
         let declared = (!self.expected.is_zero()).then(|| begun + self.expected);
         let end = self.progress.and_then(|p| p.end()).or(declared)?;
-        Some(end_from_now(now, begun, end))
+        Some(expected_end(now, begun, end))
     }
 }
 
--- a/src/placement/baseline.rs
+++ b/src/placement/baseline.rs
@@ -9,7 +9,7 @@
 use super::interface::{Decision, Event, Placer};
 use super::records::{Job, JobIx, RunRef, WorkerIx};
 use super::search::{self, SearchRequest};
-use super::{explain, never};
+use super::{explain, feasibility};
 use crate::ids::{JobName, Timestamp};
 use crate::resources::Resources;
 use crate::workload::{MemberLoss, RunEnd, TaskRun, WorkClass};
@@ -108,7 +108,7 @@
 
     fn admit(&mut self, ix: JobIx) {
         let spec = self.cell.job(ix).spec.clone();
-        if let Some(reason) = never::reason(&self.cell, &spec) {
+        if let Some(reason) = feasibility::reason(&self.cell, &spec) {
             let job = spec.name.clone();
             self.pending.push(Decision::Unschedulable { job, reason });
             return;
--- a/src/placement/cell.rs
+++ b/src/placement/cell.rs
@@ -415,7 +415,7 @@
     /// Whether a task may start again after its run ended in the given way.
     pub(crate) fn outcome(&self, job: JobIx, end: RunEnd) -> Outcome {
         let job = self.job(job);
-        if !job.closed && rules::may_start_again(&job.spec, end) {
+        if !job.closed && rules::may_restart(&job.spec, end) {
             Outcome::Restart
         } else {
             Outcome::Final
--- a/src/placement/events.rs
+++ b/src/placement/events.rs
@@ -8,7 +8,7 @@
 use super::interface::{Decision, Event, StopReason};
 use super::records::{JobIx, Phase, Run, RunRef};
 use super::scheduler::Scheduler;
-use super::{never, rules};
+use super::{feasibility, rules};
 use crate::ids::Timestamp;
 use crate::resources::Resources;
 use crate::wire::StopKind;
@@ -91,7 +91,7 @@
         let job = self.cell.job_mut(ix);
         job.queue_time = queue_time;
         let (spec, seq) = (job.spec.clone(), job.seq);
-        if let Some(reason) = never::reason(&self.cell, &spec) {
+        if let Some(reason) = feasibility::reason(&self.cell, &spec) {
             self.pending.push(Decision::Unschedulable {
                 job: spec.name.clone(),
                 reason: reason.clone(),
--- a/src/placement/explain.rs
+++ b/src/placement/explain.rs
@@ -1,7 +1,7 @@
 //! Explains why a job is waiting.
 
 use super::cell::Cell;
-use super::never::cores;
+use super::feasibility::cores;
 use super::records::{Job, JobIx};
 use super::scheduler::Scheduler;
 use super::search::SearchRequest;
--- a/src/placement/reservations.rs
+++ b/src/placement/reservations.rs
@@ -245,7 +245,7 @@
         let mut ends: Vec<(Timestamp, Resources)> = worker
             .runs
             .iter()
-            .filter_map(|&r| self.expected_end(now, r))
+            .filter_map(|&r| self.run_end_and_grant(now, r))
             .collect();
         ends.sort_unstable_by_key(|&(at, _)| at);
         let mut room = worker.room();
@@ -260,7 +260,7 @@
     }
 
     /// When a run is expected to end, and what it frees; `None` for long-running ones.
-    fn expected_end(&self, now: Timestamp, r: RunRef) -> Option<(Timestamp, Resources)> {
+    fn run_end_and_grant(&self, now: Timestamp, r: RunRef) -> Option<(Timestamp, Resources)> {
         let job = self.cell.job(r.job);
         let run = job.tasks[r.index as usize].run()?;
         if job.long_running() {
@@ -268,13 +268,13 @@
         }
         let takes = self.expected_run_time(r.job);
         let end = run.since.saturating_add(takes);
-        Some((end_from_now(now, run.since, end), run.granted))
+        Some((expected_end(now, run.since, end), run.granted))
     }
 }
 
 /// The expected end at time `now` of a run that began at `since` and was expected to end at
 /// `end`. A run past `end` is expected to go on for a fraction of its time so far.
-pub(crate) fn end_from_now(now: Timestamp, since: Timestamp, end: Timestamp) -> Timestamp {
+pub(crate) fn expected_end(now: Timestamp, since: Timestamp, end: Timestamp) -> Timestamp {
     if end > now {
         return end;
     }
--- a/src/placement/rules.rs
+++ b/src/placement/rules.rs
@@ -10,7 +10,7 @@
 /// Whether a task may start again after its run ended in the given way.
 ///
 /// A non-idempotent task that has run starts again only from a checkpoint.
-pub fn may_start_again(spec: &JobSpec, end: RunEnd) -> bool {
+pub fn may_restart(spec: &JobSpec, end: RunEnd) -> bool {
     match end {
         RunEnd::NeverStarted | RunEnd::Checkpointed => true,
         RunEnd::Failed | RunEnd::Stopped => spec.idempotent,
--- a/src/replay/ledger.rs
+++ b/src/replay/ledger.rs
@@ -418,7 +418,7 @@
     pub(crate) fn after(&self, key: RunKey, end: RunEnd) -> At {
         let job = &self.jobs[key.job];
         let wanted = !job.closed && key.index < job.spec.tasks;
-        let again = crate::placement::may_start_again(&job.spec, end);
+        let again = crate::placement::may_restart(&job.spec, end);
         match end {
             RunEnd::Done if !again => At::Over(Final::Done),
             _ if again && wanted => At::Waiting,
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -82,7 +82,7 @@
     }
 
     /// Multiplies each resource by a fraction, rounding down.
-    pub fn part(&self, fraction: f64) -> Self {
+    pub fn scaled_by(&self, fraction: f64) -> Self {
         let scaled = |amount: u32| (f64::from(amount) * fraction) as u32;
         Self {
             millicores: scaled(self.millicores),
