--- a/src/placement/cell.rs
+++ b/src/placement/cell.rs
@@ -216,7 +216,7 @@
             backing_off: 0,
             running: 0,
             closed: false,
-            never_runs: None,
+            unschedulable: None,
             failed_on: Vec::new(),
             preemption_holds: 0,
             holds: 0,
@@ -415,7 +415,7 @@
     /// Whether a task may start again after its run ended in the given way.
     pub(crate) fn outcome(&self, job: JobIx, end: RunEnd) -> Outcome {
         let job = self.job(job);
-        if !job.closed && rules::may_start_again(&job.spec, end) {
+        if !job.closed && rules::may_restart(&job.spec, end) {
             Outcome::Restart
         } else {
             Outcome::Final
--- a/src/placement/explain.rs
+++ b/src/placement/explain.rs
@@ -1,7 +1,7 @@
 //! Explains why a job is waiting.
 
 use super::cell::Cell;
-use super::never::cores;
+use super::feasibility::cores;
 use super::records::{Job, JobIx};
 use super::scheduler::Scheduler;
 use super::search::SearchRequest;
@@ -28,7 +28,7 @@
         if job.closed {
             return None;
         }
-        if let Some(reason) = &job.never_runs {
+        if let Some(reason) = &job.unschedulable {
             return Some(format!("It can never run in this cell as it is: {reason}."));
         }
         if job.waiting.is_empty() {
