--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -63,7 +63,7 @@
     index: u64,
     log_bytes: usize,
     starts: usize,
-    lead_time: Duration,
+    own_commands_time: Duration,
     apply_time: Duration,
 }
 
@@ -75,7 +75,7 @@
             index: 0,
             log_bytes: 0,
             starts: 0,
-            lead_time: Duration::ZERO,
+            own_commands_time: Duration::ZERO,
             apply_time: Duration::ZERO,
         };
         leader.machine.leadership_changed(true, leader.now);
@@ -105,8 +105,8 @@
         loop {
             self.now += Duration::from_millis(1);
             let begun = Instant::now();
-            let commands = self.machine.lead(self.now);
-            self.lead_time += begun.elapsed();
+            let commands = self.machine.own_commands(self.now);
+            self.own_commands_time += begun.elapsed();
             if commands.is_empty() {
                 return;
             }
@@ -195,7 +195,11 @@
     for job in 0..jobs {
         leader.submit(job);
     }
-    let (log, lead, apply) = (leader.log_bytes, leader.lead_time, leader.apply_time);
+    let (log, own_commands, apply) = (
+        leader.log_bytes,
+        leader.own_commands_time,
+        leader.apply_time,
+    );
     leader.starts = 0;
     // About 22 starts in one log entry: 1,100 starts and 50 decisions a second.
     leader.settle();
@@ -212,8 +216,8 @@
     rows[2]
         .points
         .push((starts, (leader.log_bytes - log) as f64));
-    let lead = (leader.lead_time - lead).as_secs_f64() * 1e6;
-    rows[3].points.push((starts, lead));
+    let own_commands = (leader.own_commands_time - own_commands).as_secs_f64() * 1e6;
+    rows[3].points.push((starts, own_commands));
     let apply = (leader.apply_time - apply).as_secs_f64() * 1e6;
     rows[4].points.push((starts, apply));
     measure_ends(&mut leader, &mut rows[5]);
--- a/benches/replication.rs
+++ b/benches/replication.rs
@@ -37,7 +37,7 @@
 
     fn leadership_changed(&mut self, _: bool, _: Timestamp) {}
 
-    fn lead(&mut self, _: Timestamp) -> Vec<Vec<u8>> {
+    fn own_commands(&mut self, _: Timestamp) -> Vec<Vec<u8>> {
         Vec::new()
     }
 
--- a/src/batch/driver.rs
+++ b/src/batch/driver.rs
@@ -95,7 +95,7 @@
     let replica = replica.clone();
     tokio::spawn(async move {
         replica
-            .inform(move |m, now| m.advice_received(now, id, None))
+            .update_machine(move |m, now| m.advice_received(now, id, None))
             .await;
     });
 }
@@ -116,7 +116,7 @@
             answer,
         };
         replica
-            .inform(move |m, now| m.orders_answered(now, vec![outcome]))
+            .update_machine(move |m, now| m.orders_answered(now, vec![outcome]))
             .await;
     });
 }
@@ -127,7 +127,7 @@
         let expired = agents.expire(monotonic_now());
         if !expired.is_empty() {
             replica
-                .inform(move |m, now| m.orders_answered(now, expired))
+                .update_machine(move |m, now| m.orders_answered(now, expired))
                 .await;
         }
     }
--- a/src/batch/machine.rs
+++ b/src/batch/machine.rs
@@ -226,7 +226,7 @@
         reply
     }
 
-    fn term_began(&mut self, term: Term) {
+    fn term_started(&mut self, term: Term) {
         self.term = term;
     }
 
@@ -240,7 +240,7 @@
         });
     }
 
-    fn lead(&mut self, now: Timestamp) -> Vec<Vec<u8>> {
+    fn own_commands(&mut self, now: Timestamp) -> Vec<Vec<u8>> {
         let Some(dispatcher) = &mut self.dispatcher else {
             return Vec::new();
         };
--- a/src/batch/server.rs
+++ b/src/batch/server.rs
@@ -172,7 +172,7 @@
         let done = self.read_all(reader, id, &tx).await;
         let (orders, questions) = self.agents.remove(id);
         let agents = self.agents.count();
-        let reported = self.replica.inform(move |m, now| {
+        let reported = self.replica.update_machine(move |m, now| {
             m.set_agents(agents);
             m.orders_answered(now, orders);
             for question in questions {
@@ -194,7 +194,9 @@
     ) {
         self.agents.add(id, tx.clone(), zone.clone(), on_this_host);
         let agents = self.agents.count();
-        self.replica.inform(move |m, _| m.set_agents(agents)).await;
+        self.replica
+            .update_machine(move |m, _| m.set_agents(agents))
+            .await;
     }
 
     async fn read_all(
@@ -280,14 +282,14 @@
                 let outcomes = self.agents.orders_answered(id, answers);
                 let reported = self
                     .replica
-                    .inform(move |m, now| m.orders_answered(now, outcomes));
+                    .update_machine(move |m, now| m.orders_answered(now, outcomes));
                 reported.await;
             }
             AgentMessage::Advice(question, advice) => {
                 self.agents.question_answered(id, question);
                 let reported = self
                     .replica
-                    .inform(move |m, now| m.advice_received(now, question, advice));
+                    .update_machine(move |m, now| m.advice_received(now, question, advice));
                 reported.await;
             }
             AgentMessage::Ping(number) => {
--- a/src/control/daemon.rs
+++ b/src/control/daemon.rs
@@ -159,10 +159,10 @@
         self.replica.status()
     }
 
-    /// Stops the daemon: hands over leadership, lets requests in flight finish for up to
+    /// Stops the daemon: transfers leadership, lets requests in flight finish for up to
     /// `HTTP_GRACE`, and closes the log's files.
     pub async fn stop(self) {
-        self.replica.hand_over().await;
+        self.replica.transfer_leadership().await;
         let _ = self.stopping.send(true);
         let _ = tokio::time::timeout(HTTP_GRACE, self.server).await;
         self.replica.stop().await;
--- a/src/control/machine.rs
+++ b/src/control/machine.rs
@@ -248,7 +248,7 @@
         self.leader = Some(leader);
     }
 
-    fn lead(&mut self, now: Timestamp) -> Vec<Vec<u8>> {
+    fn own_commands(&mut self, now: Timestamp) -> Vec<Vec<u8>> {
         self.publish();
         let commands = self.due_commands(now);
         commands
--- a/src/platform/control.rs
+++ b/src/platform/control.rs
@@ -96,7 +96,7 @@
         replace_after: REPLACE_AFTER,
         target_voters: Some(VOTERS),
         form: if boot.forms_group() {
-            Formation::FormOnce
+            Formation::FormIfEmpty
         } else {
             Formation::Join
         },
@@ -128,7 +128,7 @@
     tokio::spawn(log_role_changes(replica.status(), log.clone()));
     wait_for_end(&link, &log).await?;
     info!(log, "stopping"; "farewell_ms" => drain_time(&boot).as_millis() as u64);
-    replica.hand_over().await;
+    replica.transfer_leadership().await;
     tokio::time::sleep(drain_time(&boot) / 2).await;
     replica.abort().await;
     Ok(())
--- a/src/replication/machine.rs
+++ b/src/replication/machine.rs
@@ -19,7 +19,7 @@
 
     /// Called with the new term when this replica becomes leader, before `leadership_changed`. A
     /// term has at most one leader, so it can serve as a fencing token.
-    fn term_began(&mut self, _term: Term) {}
+    fn term_started(&mut self, _term: Term) {}
 
     /// Called when this replica becomes leader or steps down. `now` is its monotonic time.
     fn leadership_changed(&mut self, leading: bool, now: Timestamp);
@@ -27,10 +27,11 @@
     /// Returns commands that the state machine itself wants to propose. Called on a leader that
     /// holds the leader lease at `now` (monotonic), after each batch of applied entries, each update
     /// of the state machine, and on every tick.
-    fn lead(&mut self, now: Timestamp) -> Vec<Vec<u8>>;
+    fn own_commands(&mut self, now: Timestamp) -> Vec<Vec<u8>>;
 
-    /// Returns a command of `lead` that was refused because the disk is full or leadership is being
-    /// transferred. A state machine that depends on the command should return it from `lead` again.
+    /// Hands back a command of `own_commands` that was rejected because the disk is full or
+    /// leadership is being transferred. A state machine that depends on the command should return
+    /// it from `own_commands` again.
     fn rejected(&mut self, _command: Vec<u8>) {}
 
     /// Encodes the whole state.
--- a/src/replication/runtime/config.rs
+++ b/src/replication/runtime/config.rs
@@ -20,7 +20,7 @@
     FormGroup,
     /// Forms a group of one on an empty data folder; on one in use, it continues as the replica of
     /// that folder.
-    FormOnce,
+    FormIfEmpty,
     /// Makes the replica of this data folder the only voter of its group, to recover from a
     /// permanent loss of the quorum. Entries that only the lost replicas held are lost.
     ForceGroupOfOne,
--- a/src/replication/runtime/control.rs
+++ b/src/replication/runtime/control.rs
@@ -120,7 +120,7 @@
             }
             Effect::Leadership(leading) => {
                 if leading {
-                    self.machine.term_began(self.core.term());
+                    self.machine.term_started(self.core.term());
                 }
                 self.machine.leadership_changed(leading, monotonic_now());
                 self.machine_due |= leading;
@@ -172,7 +172,7 @@
         if !self.core.is_confirmed(now) {
             return;
         }
-        for command in self.machine.lead(now) {
+        for command in self.machine.own_commands(now) {
             // Shared, not copied: refusals are rare, and a batch may hold hundreds of starts.
             let command = Bytes::from(command);
             let taken = self.core.propose(now, unix_now(), command.clone());
--- a/src/replication/runtime/handle.rs
+++ b/src/replication/runtime/handle.rs
@@ -74,7 +74,7 @@
         let mut found = opened.recovered;
         let forms_group = match cfg.form {
             Formation::FormGroup => true,
-            Formation::FormOnce => is_unused(&found),
+            Formation::FormIfEmpty => is_unused(&found),
             Formation::Join | Formation::ForceGroupOfOne => false,
         };
         if forms_group {
@@ -271,7 +271,7 @@
 
     /// Runs `f` on the state machine, outside the log, then proposes the commands that the state
     /// machine returns if this replica leads. No effect once the replica has ended.
-    pub async fn inform(&self, f: impl FnOnce(&mut M, Timestamp) + Send + 'static) {
+    pub async fn update_machine(&self, f: impl FnOnce(&mut M, Timestamp) + Send + 'static) {
         let _ = self.control.send(UpdateMachine(Box::new(f))).detach().await;
     }
 
@@ -296,7 +296,7 @@
 
     /// Transfers leadership to another voter, if this replica leads and an active one exists. Waits
     /// up to two election timeouts for it.
-    pub async fn hand_over(&self) {
+    pub async fn transfer_leadership(&self) {
         if self.control.send(TransferLeadership).await.is_err() {
             return;
         }
@@ -310,7 +310,7 @@
     pub async fn stop(&self) {
         let others = self.status.borrow().voters.len() > 1;
         if others {
-            self.hand_over().await;
+            self.transfer_leadership().await;
         }
         self.abort().await;
     }
--- a/tests/batch_machine.rs
+++ b/tests/batch_machine.rs
@@ -45,12 +45,12 @@
 fn batches_that_the_log_rejected_are_proposed_again() {
     let (orders, _kept) = unbounded_channel();
     let mut machine = Machine::new(config(), orders);
-    machine.term_began(1);
+    machine.term_started(1);
     machine.leadership_changed(true, NOW);
     let mut refused = Vec::new();
     for job in 1..=3 {
         machine.apply(job, UNIX, &due_job(job));
-        refused = machine.lead(NOW);
+        refused = machine.own_commands(NOW);
         for command in refused.clone() {
             machine.rejected(command);
         }
@@ -58,7 +58,7 @@
     assert_eq!(refused.len(), 2);
     let mut index = 4;
     loop {
-        let taken = machine.lead(NOW);
+        let taken = machine.own_commands(NOW);
         if taken.is_empty() {
             break;
         }
@@ -76,12 +76,12 @@
 fn rejected_batches_are_dropped_on_loss_of_leadership() {
     let (orders, _kept) = unbounded_channel();
     let mut machine = Machine::new(config(), orders);
-    machine.term_began(1);
+    machine.term_started(1);
     machine.leadership_changed(true, NOW);
     machine.apply(1, UNIX, &due_job(1));
-    for command in machine.lead(NOW) {
+    for command in machine.own_commands(NOW) {
         machine.rejected(command);
     }
     machine.leadership_changed(false, NOW);
-    assert_eq!(machine.lead(NOW), Vec::<Vec<u8>>::new());
+    assert_eq!(machine.own_commands(NOW), Vec::<Vec<u8>>::new());
 }
--- a/tests/batch_server.rs
+++ b/tests/batch_server.rs
@@ -56,7 +56,7 @@
             snapshot_bytes: 64 * 1024,
             replace_after: Duration::from_secs(3_600),
             target_voters: None,
-            form: Formation::FormOnce,
+            form: Formation::FormIfEmpty,
             on_disk_failure: |e| eprintln!("{e}"),
         };
         let (orders, _) = mpsc::unbounded_channel();
--- a/tests/batch_workspaces.rs
+++ b/tests/batch_workspaces.rs
@@ -31,7 +31,7 @@
             machine: Machine::new(config(), orders),
             index: 0,
         };
-        leader.machine.term_began(1);
+        leader.machine.term_started(1);
         leader.machine.leadership_changed(true, UNIX);
         leader
     }
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -64,7 +64,7 @@
     fn pass(&mut self, span: Duration) {
         self.now += span;
         loop {
-            let commands = self.machine.lead(self.now);
+            let commands = self.machine.own_commands(self.now);
             if commands.is_empty() {
                 return;
             }
