--- a/src/control/link.rs
+++ b/src/control/connections.rs
@@ -44,7 +44,7 @@
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// State shared by all connections of entry hosts and by the HTTP server.
-pub(super) struct Link<G, P> {
+pub(super) struct ControlServer<G, P> {
     pub(super) calls: Calls<G, P>,
     pub(super) keys: CellKeys,
     pub(super) feed: watch::Receiver<u64>,
@@ -56,7 +56,7 @@
     pub(super) log: Logger,
 }
 
-impl<G, P> Link<G, P>
+impl<G, P> ControlServer<G, P>
 where
     P: Placer + Send + 'static,
     G: Group<Machine<P>>,
--- a/src/control/daemon.rs
+++ b/src/control/daemon.rs
@@ -9,9 +9,9 @@
 use tokio::task::JoinHandle;
 
 use super::calls::Calls;
+use super::connections::ControlServer;
 use super::group::Group;
 use super::http::routes;
-use super::link::Link;
 use super::machine::Machine;
 use crate::console::Console;
 use crate::error::{Error, Result, Step};
@@ -36,7 +36,7 @@
     replica: ReplicaHandle<CellMachine>,
     stopping: watch::Sender<bool>,
     server: JoinHandle<()>,
-    link: JoinHandle<()>,
+    connections: JoinHandle<()>,
 }
 
 impl Group<CellMachine> for ReplicaHandle<CellMachine> {
@@ -75,7 +75,7 @@
     let machine = CellMachine::new(|| Scheduler::new(PLACER_SEED));
     let feed = machine.feed_changes();
     let replica = Replica::start(replica_config(&cfg, &keys, form, calls_addr), machine)?;
-    let link = Arc::new(Link {
+    let control = Arc::new(ControlServer {
         calls: Calls::new(replica.clone()),
         keys,
         feed,
@@ -85,11 +85,11 @@
         log: log.new(o!("part" => "link")),
     });
     let (stopping, stopped) = watch::channel(false);
-    let console = Console::load(Arc::clone(&link), cfg.operators.as_deref())
+    let console = Console::load(Arc::clone(&control), cfg.operators.as_deref())
         .map_err(|problems| Error::new(Step::Settings, problems.to_text()))?;
-    let routes = routes(Arc::clone(&link), console, page);
+    let routes = routes(Arc::clone(&control), console, page);
     let server = serve_http(http_listener, routes, stopped);
-    let link = tokio::spawn(link.serve(call_listener));
+    let connections = tokio::spawn(control.serve(call_listener));
     info!(log, "control daemon started"; "http" => %http, "calls" => %calls_addr);
     Ok(ControlHandle {
         http,
@@ -97,7 +97,7 @@
         replica,
         stopping,
         server,
-        link,
+        connections,
     })
 }
 
@@ -166,7 +166,7 @@
         let _ = self.stopping.send(true);
         let _ = tokio::time::timeout(HTTP_GRACE, self.server).await;
         self.replica.stop().await;
-        self.link.abort();
+        self.connections.abort();
     }
 }
 
--- a/src/control/http.rs
+++ b/src/control/http.rs
@@ -12,8 +12,8 @@
 use warp::{Filter, Rejection};
 
 use super::api::{MAX_DOCUMENT_BYTES, answer_from_error, error_answer};
+use super::connections::{ControlServer, forward};
 use super::group::Group;
-use super::link::{Link, forward};
 use super::machine::Machine;
 use crate::console::{Console, ConsoleState};
 use crate::error::Error;
@@ -43,8 +43,8 @@
 
 /// One filter for all paths of the daemon; [`answer`] dispatches by path.
 pub(super) fn routes<G, P>(
-    link: Arc<Link<G, P>>,
-    console: Console<Arc<Link<G, P>>>,
+    server: Arc<ControlServer<G, P>>,
+    console: Console<Arc<ControlServer<G, P>>>,
     page: MetricsPage,
 ) -> impl Filter<Extract = (Response<Bytes>,), Error = Rejection> + Clone + Send + Sync + 'static
 where
@@ -68,20 +68,20 @@
                   query: String,
                   headers: HeaderMap,
                   body: Bytes| {
-                let link = Arc::clone(&link);
+                let server = Arc::clone(&server);
                 let console = console.clone();
                 let page = page.clone();
                 async move {
                     let call = call_from(&method, &path, &query, &headers, body);
-                    response(answer(&link, &console, &page, call).await)
+                    response(answer(&server, &console, &page, call).await)
                 }
             },
         )
 }
 
 async fn answer<G, P>(
-    link: &Link<G, P>,
-    console: &Console<Arc<Link<G, P>>>,
+    server: &ControlServer<G, P>,
+    console: &Console<Arc<ControlServer<G, P>>>,
     page: &MetricsPage,
     call: HttpCall,
 ) -> HttpAnswer
@@ -91,7 +91,7 @@
 {
     match call.path.as_str() {
         "/healthz/live" => text(200, "live\n"),
-        "/healthz/ready" => readiness(link).await,
+        "/healthz/ready" => readiness(server).await,
         "/metrics" => text(200, &page.render()),
         _ => console.answer(unix_now(), call).await,
     }
@@ -103,7 +103,7 @@
     now.unwrap_or_default()
 }
 
-impl<G, P> ConsoleState for Arc<Link<G, P>>
+impl<G, P> ConsoleState for Arc<ControlServer<G, P>>
 where
     P: Placer + Send + 'static,
     G: Group<Machine<P>>,
@@ -114,14 +114,14 @@
 }
 
 /// Ready if this replica is the leader and can confirm it, or if it knows a leader.
-async fn readiness<G, P>(link: &Link<G, P>) -> HttpAnswer
+async fn readiness<G, P>(server: &ControlServer<G, P>) -> HttpAnswer
 where
     P: Placer + Send + 'static,
     G: Group<Machine<P>>,
 {
-    let status = link.calls.group.status();
+    let status = server.calls.group.status();
     if status.role == Role::Leader {
-        return match link.calls.read(|_, _| ()).await {
+        return match server.calls.read(|_, _| ()).await {
             Ok(()) => text(200, "ready: leader\n"),
             Err(_) => text(503, "not ready: leadership is not confirmed\n"),
         };
@@ -132,7 +132,7 @@
     }
 }
 
-async fn operate<G, P>(link: &Link<G, P>, call: HttpCall) -> HttpAnswer
+async fn operate<G, P>(server: &ControlServer<G, P>, call: HttpCall) -> HttpAnswer
 where
     P: Placer + Send + 'static,
     G: Group<Machine<P>>,
@@ -141,15 +141,15 @@
         .headers
         .iter()
         .any(|(name, _)| name == FORWARDED_HEADER);
-    let status = link.calls.group.status();
+    let status = server.calls.group.status();
     let forward_to = (status.role != Role::Leader && !forwarded).then_some(status.leader_addr);
     let Some(leader) = forward_to else {
-        return link.calls.operate(call).await;
+        return server.calls.operate(call).await;
     };
     let Some(leader) = leader else {
         return answer_from_error(Answer::NotLeader(None));
     };
-    match forward(leader, &link.keys, call).await {
+    match forward(leader, &server.keys, call).await {
         Ok(Answer::Http(answer)) => answer,
         Ok(answer) => answer_from_error(answer),
         Err(e) => forward_failed(&e),
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -4,13 +4,13 @@
 mod api;
 mod burn;
 mod calls;
+mod connections;
 mod daemon;
 mod entries;
 mod group;
 mod http;
 mod jobs;
-mod lead;
-mod link;
+mod leader;
 mod machine;
 mod polls;
 mod tables;
--- a/src/entry/callers.rs
+++ b/src/entry/callers.rs
@@ -24,7 +24,9 @@
     DEADLINE, IDEMPOTENCY_KEY, IDEMPOTENT, MINION, Outcome, Reply, explained, invalid, refusal,
     route_error, set_outcome,
 };
-use crate::entry::work::{CompletedRequest, MinionResponse, RequestResult, ServiceRequest};
+use crate::entry::service_request::{
+    CompletedRequest, MinionResponse, RequestResult, ServiceRequest,
+};
 use crate::ids::{IdempotencyKey, Timestamp};
 use crate::routing::{Event, Origin, RequestId, RouteError};
 use crate::wire::{Answer, KeyState, StoredAnswer};
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -13,7 +13,9 @@
 
 use crate::entry::minion_client::MinionClients;
 use crate::entry::peer_dialer::PeerLinks;
-use crate::entry::work::{CompletedRequest, MinionResponse, RequestResult, ServiceRequest};
+use crate::entry::service_request::{
+    CompletedRequest, MinionResponse, RequestResult, ServiceRequest,
+};
 use crate::ids::{MinionId, Timestamp};
 use crate::routing::{
     AttemptEnd, AttemptId, Effect, Event, Origin, Request, RequestId, Router, SlotReport, Target,
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::entry::link::ControlLink;
-use crate::entry::work::{MinionResponse, RequestResult, ServiceRequest};
+use crate::entry::service_request::{MinionResponse, RequestResult, ServiceRequest};
 use crate::ids::{EntryId, IdempotencyKey, ProcessId, ServiceName};
 use crate::routing::RouteError;
 use crate::wire::{Answer, Call, KeyClaim, KeySettlement, KeyState, RefusalKind, StoredAnswer};
--- a/src/entry/minion_client.rs
+++ b/src/entry/minion_client.rs
@@ -18,7 +18,7 @@
     CONNECT_TIMEOUT, IdleConnections, SendError, USER_TIMEOUT, send,
 };
 use crate::entry::reply::{DEADLINE, EPOCH, NOT_RUN, OUTCOME, REQUEST_ID, end_to_end};
-use crate::entry::work::MinionResponse;
+use crate::entry::service_request::MinionResponse;
 use crate::ids::{MinionId, ProcessId};
 use crate::routing::{AttemptEnd, SlotReport, Target};
 
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -19,7 +19,7 @@
 mod peer_message;
 mod peer_server;
 mod reply;
-mod work;
+mod service_request;
 
 pub use daemon::{Entry, EntryHandle};
 pub use link::{ControlLink, RemoteLink};
--- a/src/entry/peer_dialer.rs
+++ b/src/entry/peer_dialer.rs
@@ -17,7 +17,7 @@
 use crate::entry::peer_message::{
     AnswerHead, Outbox, PeerMessage, RequestHead, StreamId, split_first_chunk, write_messages,
 };
-use crate::entry::work::MinionResponse;
+use crate::entry::service_request::MinionResponse;
 use crate::error::{Error, Result, Step};
 use crate::ids::{EntryId, ProcessId};
 use crate::routing::{AttemptEnd, AttemptId, Event};
--- a/src/entry/peer_server.rs
+++ b/src/entry/peer_server.rs
@@ -13,7 +13,9 @@
 use crate::entry::peer_message::{
     AnswerHead, Outbox, PeerMessage, RequestHead, StreamId, split_first_chunk, write_messages,
 };
-use crate::entry::work::{CompletedRequest, MinionResponse, RequestResult, ServiceRequest};
+use crate::entry::service_request::{
+    CompletedRequest, MinionResponse, RequestResult, ServiceRequest,
+};
 use crate::error::{Error, Result, Step};
 use crate::ids::EntryId;
 use crate::routing::{Event, Origin, RequestId, RouteError};
--- a/src/replication/core/mod.rs
+++ b/src/replication/core/mod.rs
@@ -1,13 +1,13 @@
 //! The consensus core (Raft): one replica as a pure state machine. It takes events and the current
 //! time, and returns effects in the order in which they must be executed.
 
-mod changes;
 mod config;
 mod election;
 mod follower;
 mod leader;
 mod log;
 mod membership;
+mod membership_changes;
 mod message;
 mod progress;
 
--- a/src/replication/explore/mod.rs
+++ b/src/replication/explore/mod.rs
@@ -9,7 +9,7 @@
 mod faults;
 mod history;
 mod host;
-mod world;
+mod simulation;
 
 use std::ops::Range;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -227,7 +227,7 @@
 
 fn run_one(seed: u64, disabled: Option<Safeguard>) -> Result<Coverage, Violation> {
     let safeguards = disabled.map(Safeguard::disabled).unwrap_or_default();
-    let run = || world::Simulation::new(seed, safeguards).run();
+    let run = || simulation::Simulation::new(seed, safeguards).run();
     let caught = catch_unwind(AssertUnwindSafe(run));
     caught.unwrap_or_else(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
--- a/src/replication/explore/world/mod.rs
+++ b/src/replication/explore/simulation/mod.rs
@@ -1,8 +1,8 @@
 //! Simulation of a whole group in virtual time: hosts, network, clients and faults.
 
-mod damage;
 mod effects;
-mod ending;
+mod fault_injection;
+mod recovery;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -9,13 +9,13 @@
 mod lease;
 mod limits;
 mod minion;
-mod minions;
 mod model;
+mod outcomes;
+mod ownership;
 mod peers;
 mod queue;
 mod router;
 mod status;
-mod verdicts;
 
 pub use budget::RetryBudget;
 pub use choice::{Candidate, Choose, LeastBusy, RandomChoice, TwoChoice};
