--- a/src/batch/election_watch.rs
+++ b/src/batch/election_watch.rs
@@ -72,7 +72,7 @@
 ) -> Result<()> {
     let opened = timeout(CONNECT_TIMEOUT, async {
         let stream = wire::dial(addr, PING_AFTER + PONG_TIMEOUT).await?;
-        wire::split_client(stream, keys).await
+        wire::client_handshake(stream, keys).await
     });
     let (mut reader, mut writer) = opened
         .await
--- a/src/batch/link.rs
+++ b/src/batch/link.rs
@@ -269,7 +269,7 @@
 
     async fn connect(&mut self, addr: SocketAddr) -> Result<(FrameReader, FrameWriter, bool)> {
         let stream = wire::dial(addr, PONG_TIMEOUT * 2).await?;
-        let (mut reader, mut writer) = wire::split_client(stream, &self.keys).await?;
+        let (mut reader, mut writer) = wire::client_handshake(stream, &self.keys).await?;
         writer
             .write(&AgentMessage::Hello(self.calls.zone.clone()))
             .await?;
--- a/src/cli/jobs.rs
+++ b/src/cli/jobs.rs
@@ -128,7 +128,7 @@
                 v.name.to_string(),
                 v.kind.to_string(),
                 v.team.to_string(),
-                v.phase.word().to_owned(),
+                v.phase.as_str().to_owned(),
                 format!("{}/{}", v.done, v.tasks),
                 v.reason,
             ]
@@ -148,7 +148,7 @@
     let mut out = format!(
         "{}: {} ({}, team {})\n  {}: {} waiting, {} running, {} done, {} failed, {} unknown; {} starts\n",
         v.name,
-        v.phase.word(),
+        v.phase.as_str(),
         v.kind,
         v.team,
         tasks(v.tasks),
--- a/src/console/job_pages.rs
+++ b/src/console/job_pages.rs
@@ -11,7 +11,7 @@
 fn phase(phase: JobPhase) -> &'static str {
     match phase {
         JobPhase::Unknown => "unknown: may have run, is not started again",
-        phase => phase.word(),
+        phase => phase.as_str(),
     }
 }
 
@@ -74,7 +74,7 @@
             }
         }
         (watch_link(&visit.viewer))
-        @if !j.phase.is_over() {
+        @if !j.phase.is_final() {
             details {
                 summary { "Cancel this job" }
                 form method="post" action=(format!("/console/jobs/of/{name}")) {
--- a/src/entry/link_connection.rs
+++ b/src/entry/link_connection.rs
@@ -12,7 +12,7 @@
 use crate::error::{Error, Result, Step};
 use crate::wire::{
     Answer, Call, CallId, CellKeys, EntryHello, Feed, FrameReader, FrameWriter, FromControl,
-    ToControl, dial, split_client,
+    ToControl, client_handshake, dial,
 };
 
 /// Timeout of connecting and the handshake together.
@@ -53,7 +53,8 @@
         hello: &EntryHello,
     ) -> Result<Self> {
         let open = async {
-            let (reader, mut writer) = split_client(dial(addr, USER_TIMEOUT).await?, keys).await?;
+            let (reader, mut writer) =
+                client_handshake(dial(addr, USER_TIMEOUT).await?, keys).await?;
             writer.write(&ToControl::Hello(hello.clone())).await?;
             Ok((reader, writer))
         };
--- a/src/entry/peer_dialer.rs
+++ b/src/entry/peer_dialer.rs
@@ -21,7 +21,7 @@
 use crate::error::{Error, Result, Step};
 use crate::ids::{EntryId, ProcessId};
 use crate::routing::{AttemptEnd, AttemptId, Event};
-use crate::wire::{CellKeys, FrameReader, PeerEntry, dial, split_client};
+use crate::wire::{CellKeys, FrameReader, PeerEntry, client_handshake, dial};
 
 /// Timeout of connecting and the handshake together.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -285,7 +285,7 @@
 
 async fn connection(core: &Arc<Core>, peer: &EntryId, addr: SocketAddr) -> Result<()> {
     let links = &core.peers;
-    let connect = async { split_client(dial(addr, USER_TIMEOUT).await?, &links.keys).await };
+    let connect = async { client_handshake(dial(addr, USER_TIMEOUT).await?, &links.keys).await };
     let late = |_| Error::new(Step::Connect, "no answer in time").with_peer(addr);
     let connected = tokio::time::timeout(CONNECT_TIMEOUT, connect).await;
     let (mut reader, writer) = connected.map_err(late)??;
--- a/src/replication/runtime/peers.rs
+++ b/src/replication/runtime/peers.rs
@@ -213,7 +213,7 @@
 
     async fn connect(&self) -> Result<(FrameReader, FrameWriter)> {
         let stream = wire::dial(self.addr, self.reply_timeout * 2).await?;
-        let (reader, mut writer) = wire::split_client(stream, &self.keys).await?;
+        let (reader, mut writer) = wire::client_handshake(stream, &self.keys).await?;
         writer.write(&LinkFrame::Hello(self.identity)).await?;
         Ok((reader, writer))
     }
--- a/src/wire/calls.rs
+++ b/src/wire/calls.rs
@@ -385,7 +385,7 @@
 
 impl JobPhase {
     /// Lower-case name for display.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Waiting => "waiting",
             Self::Running => "running",
@@ -397,7 +397,7 @@
     }
 
     /// Whether no task of the job runs or will run again.
-    pub const fn is_over(self) -> bool {
+    pub const fn is_final(self) -> bool {
         !matches!(self, Self::Waiting | Self::Running)
     }
 }
--- a/src/wire/connection.rs
+++ b/src/wire/connection.rs
@@ -42,7 +42,7 @@
     let stream = TcpStream::connect(addr)
         .await
         .map_err(|e| Error::caused(Step::Connect, "opening a connection", e).with_peer(addr))?;
-    split_client(stream, keys).await
+    client_handshake(stream, keys).await
 }
 
 /// Opens a TCP connection that fails when sent bytes stay unacknowledged for `user_timeout`.
@@ -60,11 +60,11 @@
 
 /// Runs the server side of the handshake on an accepted connection.
 pub async fn accept(stream: TcpStream, keys: &CellKeys) -> Result<(FrameReader, FrameWriter)> {
-    split_server(stream, keys).await
+    server_handshake(stream, keys).await
 }
 
 /// Runs the client side of the handshake and splits the stream into its halves.
-pub async fn split_client(
+pub async fn client_handshake(
     mut stream: TcpStream,
     keys: &CellKeys,
 ) -> Result<(FrameReader, FrameWriter)> {
@@ -83,7 +83,7 @@
 
 /// Runs the server side of the handshake and splits the stream into its halves. Nothing is sent to
 /// a peer whose key id is unknown.
-pub async fn split_server(
+pub async fn server_handshake(
     mut stream: TcpStream,
     keys: &CellKeys,
 ) -> Result<(FrameReader, FrameWriter)> {
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -14,7 +14,9 @@
     StoredAnswer, ToControl, WorkerPoll, WorkerTasks,
 };
 pub(crate) use connection::dial;
-pub use connection::{FrameReader, FrameWriter, accept, connect, split_client, split_server};
+pub use connection::{
+    FrameReader, FrameWriter, accept, client_handshake, connect, server_handshake,
+};
 pub use delta::{DocumentDelta, FeedDelta, MapDelta};
 
 /// Version of the frame format and of all messages. Peers with another version are refused during
--- a/tests/batch_server.rs
+++ b/tests/batch_server.rs
@@ -74,7 +74,7 @@
     /// Connects as an agent.
     async fn agent(&self) -> (FrameReader, FrameWriter) {
         let stream = TcpStream::connect(self.addr).await.expect("it listens");
-        let opened = wire::split_client(stream, &keys()).await;
+        let opened = wire::client_handshake(stream, &keys()).await;
         let (mut reader, mut writer) = opened.expect("the keys are the same");
         let hello = AgentMessage::Hello("mixco".into());
         writer.write(&hello).await.expect("it reads");
