--- a/tests/cell/daemon.rs
+++ b/tests/cell/daemon.rs
@@ -89,7 +89,7 @@
         self.child.as_ref().expect("the daemon runs").id()
     }
 
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child
             .as_mut()
             .is_some_and(|child| child.try_wait().unwrap().is_none())
--- a/tests/cell/mod.rs
+++ b/tests/cell/mod.rs
@@ -4,8 +4,8 @@
 #![allow(dead_code)]
 
 mod daemon;
-mod joined;
 mod net;
+mod wait;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
 
 /// Size and settings of a cell.
 #[derive(Clone)]
-pub struct Shape {
+pub struct CellConfig {
     pub replicas: usize,
     pub entries: usize,
     pub workers: usize,
@@ -58,7 +58,7 @@
     pub control: String,
 }
 
-impl Default for Shape {
+impl Default for CellConfig {
     fn default() -> Self {
         Self {
             replicas: 1,
@@ -75,7 +75,7 @@
     }
 }
 
-impl Shape {
+impl CellConfig {
     fn zone(&self, n: usize) -> &str {
         &self.zones[n % self.zones.len()]
     }
@@ -99,12 +99,12 @@
     pub ledger: Arc<Ledger>,
     pub client: reqwest::Client,
     pub folder: PathBuf,
-    shape: Shape,
+    cfg: CellConfig,
 }
 
 impl TestEnv {
     /// Starts the daemons, puts the document in force and waits until everything has joined.
-    pub async fn start(name: &str, shape: Shape) -> Self {
+    pub async fn start(name: &str, cfg: CellConfig) -> Self {
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
@@ -122,18 +122,18 @@
                 .build()
                 .unwrap(),
             folder,
-            shape,
+            cfg,
         };
-        let shape = env.shape.clone();
-        let calls = env.start_replicas(&shape).await;
-        env.start_entries(&shape, &calls).await;
-        env.put_document(&shape.document, 0)
+        let cfg = env.cfg.clone();
+        let calls = env.start_replicas(&cfg).await;
+        env.start_entries(&cfg, &calls).await;
+        env.put_document(&cfg.document, 0)
             .await
             .expect("the first document is accepted");
-        for n in 0..shape.workers {
-            env.add_worker(&format!("worker-{n}"), shape.behaviour.clone());
+        for n in 0..cfg.workers {
+            env.add_worker(&format!("worker-{n}"), cfg.behaviour.clone());
         }
-        for n in 0..shape.minions {
+        for n in 0..cfg.minions {
             env.add_minion(&format!("minion-{n}"), MinionBehaviour::default())
                 .await;
         }
@@ -141,9 +141,9 @@
         env
     }
 
-    async fn start_replicas(&mut self, shape: &Shape) -> Vec<SocketAddr> {
+    async fn start_replicas(&mut self, cfg: &CellConfig) -> Vec<SocketAddr> {
         let mut addrs = Vec::new();
-        for n in 1..=shape.replicas {
+        for n in 1..=cfg.replicas {
             let name = format!("c{n}");
             let (calls, replica) = (free_addr(), free_addr());
             let proxies = (
@@ -160,12 +160,12 @@
                 "zone: {}\ncell_key: ../cell.key\ndata: data\nlisten: {}\ncall_listen: {calls}\n\
                  call_advertise: {}\nreplica_listen: {replica}\nreplica_advertise: {}\n\
                  replicas: [{}]\nelection_timeout: 600 ms\nheartbeat: 100 ms\n{}",
-                shape.zone(n),
+                cfg.zone(n),
                 daemon.http,
                 proxies.0,
                 proxies.1,
                 others.join(", "),
-                shape.control
+                cfg.control
             ));
             self.replicas.push(daemon);
         }
@@ -174,18 +174,18 @@
             self.leader().await == Some(0)
         })
         .await;
-        for n in 1..shape.replicas {
+        for n in 1..cfg.replicas {
             self.replicas[n].start(&[]);
         }
         until("all replicas to vote", async || {
-            self.voters().await == shape.replicas
+            self.voters().await == cfg.replicas
         })
         .await;
         addrs.iter().map(|addr| addr.3.0).collect()
     }
 
-    async fn start_entries(&mut self, shape: &Shape, calls: &[SocketAddr]) {
-        for n in 1..=shape.entries {
+    async fn start_entries(&mut self, cfg: &CellConfig, calls: &[SocketAddr]) {
+        for n in 1..=cfg.entries {
             let name = format!("e{n}");
             let peer = free_addr();
             let proxy = self.net.add_proxy(&name, peer).await;
@@ -194,7 +194,7 @@
             daemon.write_settings(&format!(
                 "id: {name}\nzone: {}\ncell_key: ../cell.key\nlisten: {}\npeer_listen: {peer}\n\
                  peer_advertise: {proxy}\ncontrol: [{}]\nstop_delay: 200 ms\nstop_grace: 10 s\n",
-                shape.zone(n - 1),
+                cfg.zone(n - 1),
                 daemon.http,
                 calls.join(", ")
             ));
@@ -218,9 +218,9 @@
         let options = WorkerOptions {
             spec: WorkerSpec {
                 id: name.into(),
-                zone: self.shape.zone(n).into(),
+                zone: self.cfg.zone(n).into(),
                 rack: compact_str::format_compact!("rack-{}", n / 6),
-                capacity: self.shape.capacity,
+                capacity: self.cfg.capacity,
                 accelerator: None,
             },
             entries: self.entry_addrs(),
@@ -237,8 +237,8 @@
         let n = self.minions.len();
         let options = MinionOptions {
             id: name.into(),
-            service: self.shape.service.as_str().into(),
-            zone: self.shape.zone(n).into(),
+            service: self.cfg.service.as_str().into(),
+            zone: self.cfg.zone(n).into(),
             entries: self.entry_addrs(),
             ttl: Duration::from_secs(2),
             behaviour,
@@ -455,11 +455,11 @@
     }
 
     /// Sends one request to a service through an entry host.
-    pub async fn ask(&self, entry: usize, path: &str, headers: &[(&str, &str)]) -> Answer {
-        ask(
+    pub async fn send_request(&self, entry: usize, path: &str, headers: &[(&str, &str)]) -> Answer {
+        send_request(
             &self.client,
             self.entries[entry].http,
-            &self.shape.service,
+            &self.cfg.service,
             path,
             headers,
         )
@@ -468,7 +468,7 @@
 
     /// Checks the counts of workers and minions: no task ran in two places at once, no worker
     /// exceeded its capacity, no minion its slots and connections.
-    pub fn check(&self) {
+    pub fn check_invariants(&self) {
         let counts = self.ledger.counts();
         assert_eq!(counts.doubles, [], "tasks that ran in two places at once");
         assert_eq!(counts.overfills, [], "workers that were overfilled");
@@ -500,7 +500,7 @@
                 "{name}: {times:?}"
             );
         }
-        self.check();
+        self.check_invariants();
     }
 }
 
@@ -521,7 +521,7 @@
 
 /// Sends one request to a service; without a complete answer the outcome is `no-answer` or
 /// `cut-answer`.
-pub async fn ask(
+pub async fn send_request(
     client: &reqwest::Client,
     entry: SocketAddr,
     service: &str,
--- a/tests/cell/net.rs
+++ b/tests/cell/net.rs
@@ -72,24 +72,28 @@
     }
 
     /// Fault lanes for the connections that one daemon opens to another.
-    pub fn lanes(&self, from: &str, to: &str) -> Vec<Lane> {
+    pub fn lanes_between(&self, from: &str, to: &str) -> Vec<Lane> {
         let proxies = self.proxies.get(to).into_iter().flatten();
         proxies.map(|proxy| proxy.from(from)).collect()
     }
 
     /// Applies a fault to the connections that either of two daemons opens to the other.
     pub fn between(&self, a: &str, b: &str, fault: Fault) {
-        for lane in self.lanes(a, b).into_iter().chain(self.lanes(b, a)) {
+        for lane in self
+            .lanes_between(a, b)
+            .into_iter()
+            .chain(self.lanes_between(b, a))
+        {
             lane.apply(fault);
         }
     }
 
     /// Drops everything that `from` sends to `to`; the other direction works.
     pub fn silence(&self, from: &str, to: &str) {
-        for lane in self.lanes(from, to) {
+        for lane in self.lanes_between(from, to) {
             lane.apply(Fault::Silence(Direction::ToServer));
         }
-        for lane in self.lanes(to, from) {
+        for lane in self.lanes_between(to, from) {
             lane.apply(Fault::Silence(Direction::ToClient));
         }
     }
--- a/tests/cell/joined.rs
+++ b/tests/cell/wait.rs
@@ -30,11 +30,11 @@
         })
         .await;
         let slots = u64::from(MinionOptions::default().slots) * self.minions.len() as u64;
-        self.until_known(slots).await;
+        self.wait_for_slots(slots).await;
     }
 
     /// Waits until every entry host has exactly this number of slots in its routing status.
-    pub async fn until_known(&self, slots: u64) {
+    pub async fn wait_for_slots(&self, slots: u64) {
         until("every entry host to know all slots", async || {
             let mut known = true;
             for entry in &self.entries {
--- a/tests/platform_cell/caller.rs
+++ b/tests/platform_cell/caller.rs
@@ -9,8 +9,8 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use super::book::{Recorder, Resources};
 use super::payload::Payload;
+use super::recorder::{Recorder, Resources};
 use super::workspaces::SentKey;
 
 pub const HOST: &str = "desk.example";
--- a/tests/platform_cell/room.rs
+++ b/tests/platform_cell/capacity.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::book::{FULL_CAPACITY, Resources};
+use super::recorder::{FULL_CAPACITY, Resources};
 
 /// Time after a resize during which runs may still use the previous, larger capacity.
 const RESIZE_NOTICE: Duration = Duration::from_millis(3_300);
--- a/tests/platform_cell/minion.rs
+++ b/tests/platform_cell/minion.rs
@@ -13,10 +13,10 @@
 use warp::http::StatusCode;
 use yuccahold::fault::{Fault, TcpProxy};
 
-use super::book::{Recorder, Resources};
+use super::capacity::MinionCapacity;
 use super::payload::Payload;
 use super::policy::listen;
-use super::room::MinionCapacity;
+use super::recorder::{Recorder, Resources};
 
 /// Longest lease in ms.
 pub const LEASE_MAX_MS: u64 = 3_000;
--- a/tests/platform_cell/mod.rs
+++ b/tests/platform_cell/mod.rs
@@ -3,12 +3,12 @@
 
 #![allow(dead_code)]
 
-pub mod book;
 pub mod caller;
+mod capacity;
 pub mod minion;
 pub mod payload;
 mod policy;
-mod room;
+pub mod recorder;
 pub mod workspaces;
 
 use std::fs::File;
@@ -23,9 +23,9 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use book::{ATTEMPTS, Recorder};
 use caller::{HOST, PREFIX};
 use minion::{LEASE_MAX_MS, Minion};
+use recorder::{ATTEMPTS, Recorder};
 
 /// Longest wait for processes to start, or for a condition to hold, on a busy host.
 pub const DEADLINE: Duration = Duration::from_secs(60);
--- a/tests/platform_cell/payload.rs
+++ b/tests/platform_cell/payload.rs
@@ -1,6 +1,6 @@
 //! The job payload that simulated callers send and simulated minions execute.
 
-use super::book::Resources;
+use super::recorder::Resources;
 
 /// Behaviour of the tasks of one job.
 pub struct Payload {
--- a/tests/process_control.rs
+++ b/tests/process_control.rs
@@ -6,14 +6,14 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use cell::{DOCUMENT, Shape, TestEnv, until};
+use cell::{CellConfig, DOCUMENT, TestEnv, until};
 use rstest::rstest;
 use yuccahold::fault::{Direction, Fault, TcpProxy};
 
-fn three_replicas() -> Shape {
-    Shape {
+fn three_replicas() -> CellConfig {
+    CellConfig {
         replicas: 3,
-        ..Shape::default()
+        ..CellConfig::default()
     }
 }
 
@@ -147,12 +147,12 @@
     // or both. The new leader must honour the leases of the old one, and the old leader must not
     // act on its outdated state when it returns: every accepted job is done, every task finishes
     // exactly once, and a change made in between stays.
-    let shape = Shape {
+    let cfg = CellConfig {
         entries: 2,
         workers: 4,
         ..three_replicas()
     };
-    let mut env = TestEnv::start(&format!("leader-lost-{failure:?}"), shape).await;
+    let mut env = TestEnv::start(&format!("leader-lost-{failure:?}"), cfg).await;
     let mut names = Vec::new();
     let mut submit = async |env: &TestEnv, part: &str| {
         for n in 0..8 {
@@ -200,13 +200,13 @@
     // A replica loses its disk and returns as a new one. It must not vote under its old id: it
     // receives the log as a learner, is promoted, and the old id is removed. Right then a second
     // replica is lost for good. The remaining two must still have everything that was accepted.
-    let shape = Shape {
+    let cfg = CellConfig {
         entries: 1,
         workers: 2,
         control: "replace_after: 2 s\n".to_owned(),
         ..three_replicas()
     };
-    let mut env = TestEnv::start("second-loss", shape).await;
+    let mut env = TestEnv::start("second-loss", cfg).await;
     let names: Vec<_> = (0..6).map(|n| format!("job-{n}")).collect();
     for name in &names {
         env.submit(name, "plan").await;
@@ -241,11 +241,11 @@
     // A replica is down during 500 changes, and the log is truncated after them, so it can only
     // catch up from a snapshot. Then the leader is killed: the group can continue only if the
     // returned replica has the complete state.
-    let shape = Shape {
+    let cfg = CellConfig {
         control: "snapshot_bytes: 64 KiB\n".to_owned(),
         ..three_replicas()
     };
-    let mut env = TestEnv::start("five-hundred", shape).await;
+    let mut env = TestEnv::start("five-hundred", cfg).await;
     let leader = env.leader().await.unwrap();
     let lagging = (leader + 1) % 3;
     let other = (leader + 2) % 3;
@@ -274,12 +274,12 @@
 async fn a_rolling_restart_of_all_replicas_loses_nothing() {
     // Operators restart the replicas one by one with a planned stop while jobs are submitted. Every
     // job must be accepted and done.
-    let shape = Shape {
+    let cfg = CellConfig {
         entries: 2,
         workers: 4,
         ..three_replicas()
     };
-    let mut env = TestEnv::start("rolling-control", shape).await;
+    let mut env = TestEnv::start("rolling-control", cfg).await;
     let mut names = Vec::new();
     for round in 0..3 {
         for n in 0..4 {
@@ -303,11 +303,11 @@
     // The leader is silently cut off from the other replicas, which elect another and accept a
     // change. An entry host restarts and reaches only the old leader. It must not serve the
     // outdated document, so it must stay not ready until it reaches the other replicas.
-    let shape = Shape {
+    let cfg = CellConfig {
         entries: 1,
         ..three_replicas()
     };
-    let mut env = TestEnv::start("cut-off-document", shape).await;
+    let mut env = TestEnv::start("cut-off-document", cfg).await;
     let old = env.leader().await.unwrap();
     let name = env.replicas[old].name.clone();
     let others: Vec<_> = (0..3).filter(|n| *n != old).collect();
@@ -324,7 +324,7 @@
         .await;
     assert_eq!(put, Ok(2));
     env.entries[0].start(&[]);
-    let lanes = env.net.lanes("e1", &name);
+    let lanes = env.net.lanes_between("e1", &name);
     let tried = async || lanes.iter().any(|lane| lane.counts().connections > 0);
     until("the entry host to reach the old leader", tried).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
--- a/tests/process_entries.rs
+++ b/tests/process_entries.rs
@@ -7,17 +7,17 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use cell::{Answer, Shape, TestEnv, ask, until};
+use cell::{Answer, CellConfig, TestEnv, send_request, until};
 use rstest::rstest;
 use tokio::task::JoinHandle;
 use yuccahold::fault::{Direction, Fault};
 use yuccahold::stand_in::{MinionBehaviour, MinionHandle, MinionOptions, start_minion};
 
-fn shape(entries: usize, minions: usize) -> Shape {
-    Shape {
+fn cfg(entries: usize, minions: usize) -> CellConfig {
+    CellConfig {
         entries,
         minions,
-        ..Shape::default()
+        ..CellConfig::default()
     }
 }
 
@@ -38,7 +38,7 @@
     headers: &[(&str, &str)],
 ) -> Answer {
     loop {
-        let answer = ask(
+        let answer = send_request(
             client,
             entries[turn % entries.len()],
             "massrechner",
@@ -114,7 +114,7 @@
         }
         assert!(!once || times <= 1, "{key} ran {times} times");
     }
-    env.check();
+    env.check_invariants();
 }
 
 /// Waits until requests with this many further keys have started.
@@ -146,7 +146,7 @@
     // until its lease expires, take its minions over and count the slots that these report in use.
     // Requests are answered again. No minion ever runs more than 8 requests, and no non-idempotent
     // request runs twice, also after the old owner has resumed.
-    let mut env = TestEnv::start(&format!("owner-{failure:?}-{once}"), shape(3, 4)).await;
+    let mut env = TestEnv::start(&format!("owner-{failure:?}-{once}"), cfg(3, 4)).await;
     for minion in env.minions.values() {
         minion.set_behaviour(MinionBehaviour {
             service_time: Duration::from_millis(30),
@@ -189,7 +189,7 @@
     // All entry hosts are restarted one after the other under load. Each becomes not ready, lets
     // requests in flight end and hands its minions over. A caller that finds a closed port uses the
     // next entry host; any other failure fails the test.
-    let mut env = TestEnv::start("rolling-entries", shape(3, 4)).await;
+    let mut env = TestEnv::start("rolling-entries", cfg(3, 4)).await;
     let callers = Callers::start(&env, 16, false);
     for n in 0..3 {
         wait_for_started(&env, 60).await;
@@ -216,14 +216,15 @@
     // A caller resends a non-idempotent request through other entry hosts while the first one is
     // still running. The request must run once; the others get its response or are refused because
     // it is in progress, and later resends get the stored response.
-    let env = TestEnv::start("one-key", shape(3, 3)).await;
+    let env = TestEnv::start("one-key", cfg(3, 3)).await;
     for round in 0..10 {
         let key = format!("pay-{round}");
         let headers = [
             ("idempotency-key", key.as_str()),
             ("yuccahold-idempotent", "false"),
         ];
-        let asked = futures::future::join_all([0, 1, 2].map(|n| env.ask(n, "/pay", &headers)));
+        let asked =
+            futures::future::join_all([0, 1, 2].map(|n| env.send_request(n, "/pay", &headers)));
         let answers = asked.await;
         assert!(
             answers.iter().any(|answer| answer.outcome == "done"),
@@ -232,7 +233,7 @@
         for n in 0..3 {
             let mut body = Vec::new();
             until("the stored answer", async || {
-                let answer = env.ask(n, "/pay", &headers).await;
+                let answer = env.send_request(n, "/pay", &headers).await;
                 body = answer.body;
                 answer.outcome == "done"
             })
@@ -242,7 +243,7 @@
         }
         assert_eq!(started_by_key(&env).get(&key), Some(&1));
     }
-    env.check();
+    env.check_invariants();
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -250,11 +251,11 @@
     // A middlebox drops the packets of every open connection among entry hosts and to the control
     // plane; new connections work. Requests may wait or be refused as not run, but must soon be
     // answered again, and none gets the response of another.
-    let env = TestEnv::start("silent-connections", shape(3, 3)).await;
+    let env = TestEnv::start("silent-connections", cfg(3, 3)).await;
     let callers = Callers::start(&env, 12, false);
     wait_for_started(&env, 60).await;
     let to_control = || -> u64 {
-        let lanes = ["e1", "e2", "e3"].map(|from| env.net.lanes(from, "c1"));
+        let lanes = ["e1", "e2", "e3"].map(|from| env.net.lanes_between(from, "c1"));
         lanes
             .iter()
             .flatten()
@@ -264,14 +265,14 @@
     let before = to_control();
     for from in ["e1", "e2", "e3"] {
         for to in ["c1", "e1", "e2", "e3"] {
-            let lanes = env.net.lanes(from, to);
+            let lanes = env.net.lanes_between(from, to);
             lanes.iter().for_each(|lane| lane.apply(Fault::SilenceOpen));
         }
     }
     wait_for_started(&env, 200).await;
     for n in 0..3 {
         until("an answer from each entry host", async || {
-            env.ask(n, "/check", &[]).await.outcome == "done"
+            env.send_request(n, "/check", &[]).await.outcome == "done"
         })
         .await;
     }
@@ -302,7 +303,7 @@
     // A minion's announcements stop for a while, as when the entry host that receives them is
     // paused, while its owner uses all its slots. Then it announces itself again, in the
     // availability zone of another entry host. A new owner must not use slots still in use.
-    let mut env = TestEnv::start("fell-silent", shape(2, 0)).await;
+    let mut env = TestEnv::start("fell-silent", cfg(2, 0)).await;
     let behaviour = MinionBehaviour {
         service_time: Duration::from_millis(2500),
         ..MinionBehaviour::default()
@@ -313,9 +314,9 @@
     };
     let minion = start_minion(options).await.unwrap();
     announce(&env, &minion, "bern-a", Duration::from_secs(1)).await;
-    env.until_known(8).await;
+    env.wait_for_slots(8).await;
     let asks = async {
-        let asks = (0..8).map(|_| env.ask(0, "/check", &[]));
+        let asks = (0..8).map(|_| env.send_request(0, "/check", &[]));
         futures::future::join_all(asks).await
     };
     let returns = async {
@@ -329,8 +330,8 @@
         })
         .await;
         announce(&env, &minion, "bern-b", Duration::from_secs(60)).await;
-        env.until_known(8).await;
-        let asks = (0..8).map(|_| env.ask(1, "/check", &[]));
+        env.wait_for_slots(8).await;
+        let asks = (0..8).map(|_| env.send_request(1, "/check", &[]));
         futures::future::join_all(asks).await
     };
     let (first, second) = tokio::join!(asks, returns);
@@ -340,5 +341,5 @@
         "{first:?} {second:?}"
     );
     env.minions.insert("quiet".to_owned(), minion);
-    env.check();
+    env.check_invariants();
 }
--- a/tests/process_whole.rs
+++ b/tests/process_whole.rs
@@ -4,7 +4,7 @@
 
 use std::path::Path;
 
-use cell::{Shape, TestEnv, until};
+use cell::{CellConfig, TestEnv, until};
 use rstest::rstest;
 use yuccahold::document;
 use yuccahold::resources::Resources;
@@ -16,12 +16,12 @@
     // The only control replica is killed while tasks run and jobs wait, then restarted on its data
     // folder. It must still have every accepted job and treat every lease as live, so that no
     // running task is started twice and no waiting one is lost. Requests are served without it.
-    let shape = Shape {
+    let cfg = CellConfig {
         workers: 2,
         minions: 2,
-        ..Shape::default()
+        ..CellConfig::default()
     };
-    let mut env = TestEnv::start("restart-in-the-middle", shape).await;
+    let mut env = TestEnv::start("restart-in-the-middle", cfg).await;
     let names: Vec<_> = (0..40).map(|n| format!("job-{n}")).collect();
     for (n, name) in names.iter().enumerate() {
         env.submit(name, ["plan", "check"][n % 2]).await;
@@ -29,7 +29,7 @@
     let running = async || env.ledger.counts().running > 0;
     until("tasks to run", running).await;
     env.replicas[0].kill();
-    let answer = env.ask(0, "/check", &[]).await;
+    let answer = env.send_request(0, "/check", &[]).await;
     assert_eq!(answer.outcome, "done", "{answer:?}");
     env.replicas[0].start(&[]);
     env.check_done(&names).await;
@@ -45,7 +45,7 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("examples/{name}.yaml"));
     let text = std::fs::read_to_string(&path).unwrap();
     let doc = document::parse(name, &text).unwrap();
-    let shape = Shape {
+    let cfg = CellConfig {
         workers: 6,
         minions: 2,
         document: text,
@@ -56,9 +56,9 @@
             time_scale: 0.0001,
             ..Behaviour::default()
         },
-        ..Shape::default()
+        ..CellConfig::default()
     };
-    let env = TestEnv::start(&format!("example-{name}"), shape).await;
+    let env = TestEnv::start(&format!("example-{name}"), cfg).await;
     let ends = |class| matches!(class, WorkClass::Batch | WorkClass::Gang);
     let kinds = doc.kinds.iter().filter(|(_, kind)| ends(kind.class));
     let mut names = Vec::new();
@@ -66,7 +66,7 @@
         names.push(format!("one-{kind}"));
         env.submit(names.last().unwrap(), kind).await;
     }
-    let answer = env.ask(0, "/check", &[]).await;
+    let answer = env.send_request(0, "/check", &[]).await;
     assert_eq!(answer.outcome, "done", "{answer:?}");
     let declared: u32 = doc.workloads.values().map(|workload| workload.tasks).sum();
     until("the declared tasks to run", async || {
