--- a/src/batch/dispatch/advice.rs
+++ b/src/batch/dispatch/advice.rs
@@ -157,6 +157,10 @@
 
     /// The class that a question about a step may count against; `None` while all of its limits are
     /// used up.
+    ///
+    /// A step that isn't urgent may add an ordinary question only while fewer of these are pending
+    /// than two thirds of the agents, so a third is reserved for urgent steps: a question for long
+    /// work takes ten times as long.
     fn available_class(&self, step: &ReadyStep, reason: QuestionReason) -> Option<QuestionClass> {
         let ordinary = match (step.queue.priority, reason) {
             (0, QuestionReason::Upcoming) => self.agents,
@@ -268,8 +272,8 @@
 
     /// Asks about steps that are expected to become ready by the time of the answer.
     ///
-    /// Without this, a check of two steps waited 50 ms between its steps, and long work 0.7 s and
-    /// more, since tickets were only requested once the step was ready.
+    /// Without this, a quick check (a short job) of two steps waited 50 ms between its steps, and
+    /// long work 0.7 s and more, since tickets were only requested once the step was ready.
     pub(super) fn ask_ahead(&mut self, now: Timestamp) {
         let mut upcoming = std::mem::take(&mut self.upcoming);
         for (id, step) in &mut upcoming {
@@ -310,8 +314,7 @@
         }
     }
 
-    /// Sets the number of agents that can send questions. Each sends one at a time, so a third of
-    /// them is reserved for urgent steps: a question for long work takes ten times as long.
+    /// Sets the number of agents that can send questions. Each sends one at a time.
     pub fn set_agents(&mut self, agents: usize) {
         self.agents = agents;
     }
--- a/src/batch/dispatch/holds.rs
+++ b/src/batch/dispatch/holds.rs
@@ -17,8 +17,8 @@
 /// each answer costs a call.
 const HOLD_WAIT: Duration = Duration::from_millis(2000);
 /// The same for a minion with short runs. A lost answer hides all ends on its minion until the hold
-/// times out: with 5% of the answers lost, a wait of 2 s made one check in six late by 2.7 s (age
-/// of ends against declared times, over a day of 700 jobs).
+/// times out: with 5% of the answers lost, a wait of 2 s made one quick check (a short job) in six
+/// late by 2.7 s (age of ends against declared times, over a day of 700 jobs).
 const HOLD_WAIT_SHORT: Duration = Duration::from_millis(500);
 /// The same for a minion with a run on trial: nothing else starts there until that run is listed.
 const HOLD_WAIT_TRIAL: Duration = Duration::from_millis(200);
@@ -26,11 +26,12 @@
 const SHORT_RUN: Duration = Duration::from_millis(3000);
 /// Margin subtracted from the longest lease, as the minion's clock was read up to a round trip ago.
 const LEASE_RESERVE: Duration = Duration::from_millis(200);
-/// Lease of a minion that has announced that it leaves. It will end soon, and its last message may
-/// be lost with a leader or arrive while there is none; with a full lease of 10 s its lasting tasks
-/// were then down for all of it. A lost answer shows only after up to 1.5 s, and the repeated hold
-/// grants no lease, so holds to such minions wait `HOLD_WAIT_SHORT`: with waits of 2 s, one lost
-/// hold let all runs there lapse.
+/// Lease of a minion that has reported or announced that it drains. It will end soon, and its last
+/// message may be lost with a leader or arrive while there is none; with a full lease of 10 s its
+/// lasting tasks were then down for all of it.
+///
+/// Holds to such minions wait `HOLD_WAIT_SHORT`. A lost answer shows only after up to 1.5 s, and
+/// the repeated hold grants no lease: with waits of 2 s, one lost hold let all runs there lapse.
 pub(super) const LEAVING_LEASE: Duration = Duration::from_secs(4);
 /// Pause before the next hold to a minion that did not answer; grows by as much with each failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
@@ -290,6 +291,7 @@
         } else {
             EndKind::Lapsed
         };
+        // When it ended is not known, so the ages of its runs are logged as of the last contact.
         for task in tasks {
             self.run_over(heard, task, kind, Default::default());
         }
--- a/src/batch/dispatch/mechanisms.rs
+++ b/src/batch/dispatch/mechanisms.rs
@@ -49,7 +49,8 @@
         Self::LimitPreemption,
     ];
 
-    /// Name on the command line, as taken by [`Mechanisms::without`].
+    /// Name on the command line, as taken by [`Mechanisms::without`]. Two differ from the variants:
+    /// `claims` and `surplus-last`.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Reservations => "claims",
--- a/src/batch/dispatch/minion.rs
+++ b/src/batch/dispatch/minion.rs
@@ -127,10 +127,11 @@
     pub(super) fenced: bool,
     /// When leases granted by earlier leaders are certainly over, on this replica's clock.
     pub(super) assumed_until: Timestamp,
-    /// Highest deadline that this leader has sent, on the minion's clock.
+    /// Highest deadline of a lease or a start that this leader has sent: a point in time on the
+    /// minion's clock, or zero if none was sent.
     pub(super) lease: Duration,
     clock: Option<ClockReading>,
-    /// When its clock was last received, or else when this record was made.
+    /// When an answer with its clock was last received, or else when this record was made.
     pub(super) heard: Timestamp,
     /// When its last report was received, or else when this record was made.
     pub(super) reported: Timestamp,
@@ -138,7 +139,7 @@
     last_sign_of_life: Timestamp,
     /// Earliest time by which it is known to have been down; reset by an answer.
     down_by: Option<Timestamp>,
-    /// Consecutive holds without an answer.
+    /// Holds in a row that were refused or got no answer; reset by any answer with its clock.
     pub(super) silent_calls: u32,
     pub(super) hold: HoldState,
     /// When the latest unanswered order was sent; reset by the answer to a later one.
@@ -398,7 +399,8 @@
         self.silent_calls > 0 || (due && self.wants_hold())
     }
 
-    /// Whether its latest hold and order were answered or are still pending.
+    /// Whether no hold or order has failed since the last one that was answered. One that is still
+    /// pending has not failed.
     pub(super) fn answers(&self) -> bool {
         self.silent_calls == 0 && self.unanswered.is_none()
     }
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -122,7 +122,8 @@
     next_minion_scan: Timestamp,
     /// Minions with ends that were received and are not acknowledged.
     unacknowledged: BTreeSet<MinionNumber>,
-    /// For each uncommitted batch, the last end received from each minion; acknowledged on commit.
+    /// One entry for each uncommitted batch: the last end received from each minion. These are
+    /// acknowledged on commit.
     batches: VecDeque<Vec<(MinionNumber, u64)>>,
     /// Time of the last log line about unreadable rows.
     unreadable_logged_at: Option<Timestamp>,
--- a/src/batch/dispatch/order.rs
+++ b/src/batch/dispatch/order.rs
@@ -158,12 +158,12 @@
 pub enum CallFailure {
     /// The connection was refused: nothing listens on the address.
     Refused,
-    /// The call timed out.
+    /// The call timed out: the request or its answer may be lost.
     Lost,
     /// The process that should have made the call is stuck or has ended. This is no evidence about
     /// the minion.
     NotCalled,
-    /// The connection was lost before the answer arrived.
+    /// The connection was closed or failed before the answer arrived.
     Broken,
 }
 
--- a/src/batch/dispatch/place.rs
+++ b/src/batch/dispatch/place.rs
@@ -29,8 +29,11 @@
 /// Rank of a minion for a task; the lowest is the best.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Score {
+    /// Whether it is outside the rack of the task's data.
     far: bool,
+    /// Rank of its speed class for the task; lower is better, whether that is fast or slow.
     speed: u8,
+    /// Weighted sum of the resources that the task would leave free; lower is a tighter fit.
     left: u32,
     minion: MinionNumber,
 }
@@ -231,8 +234,8 @@
                     .is_some_and(|k| k.has_ticket(minion.number, now)))
     }
 
-    /// Whether a minion could run one more task of a step, regardless of tickets and of its free
-    /// resources.
+    /// Whether a minion takes work and suits a step, and its runs of the step are below the step's
+    /// maximum per minion. Regardless of tickets, its free resources and its capacity.
     pub(super) fn is_eligible(
         &self,
         now: Timestamp,
--- a/src/batch/dispatch/questions.rs
+++ b/src/batch/dispatch/questions.rs
@@ -21,8 +21,8 @@
     PassedOver,
 }
 
-/// One in this many processes is reserved for lasting steps, and one for steps that were passed
-/// over.
+/// Beyond the ordinary limit, one question for this many processes, and at least one, may be
+/// pending for lasting steps, and as many for steps that were passed over.
 const AGENTS_PER_RESERVED: usize = 4;
 
 /// A pending question.
@@ -56,7 +56,7 @@
     }
 
     /// Whether another question of a class may be sent. `agents` is the number of processes that
-    /// can send one, `ordinary` the limit of the ordinary class.
+    /// can send one, `ordinary` the limit of the ordinary class. Each class has a limit of its own.
     pub(super) fn may_send(&self, class: QuestionClass, agents: usize, ordinary: usize) -> bool {
         let reserved = agents / AGENTS_PER_RESERVED;
         match class {
--- a/src/batch/dispatch/quota.rs
+++ b/src/batch/dispatch/quota.rs
@@ -38,7 +38,8 @@
 pub(super) enum LimitState {
     /// The step may start.
     Open,
-    /// The step waits for the limit, and has what it needs of the limit reserved.
+    /// The step waits for the limit. It is the first of its workspace that can run under the limit
+    /// beside the lasting tasks, so what it needs of the limit is reserved for it.
     First,
     /// The step waits for the limit behind another step, or can't start while lasting tasks run.
     Blocked,
--- a/src/batch/dispatch/ready.rs
+++ b/src/batch/dispatch/ready.rs
@@ -27,7 +27,7 @@
     step: Reverse<u16>,
 }
 
-/// A step with waiting tasks.
+/// A step with waiting tasks, or an upcoming one, whose predecessors still run.
 #[derive(Clone, Debug)]
 pub(super) struct ReadyStep {
     pub(super) key: OrderKey,
@@ -36,9 +36,10 @@
     /// Workspace of the job; `None` for a job without one.
     pub(super) owner: Option<WorkspaceName>,
     pub(super) accepted: Timestamp,
-    /// Since when it has had waiting tasks, in monotonic time.
+    /// Since when it has had waiting tasks, in monotonic time; for an upcoming step, when this
+    /// record was made.
     pub(super) since: Timestamp,
-    /// Next check for a question to the policy service, while its predecessors still run.
+    /// Next check for a question to the policy service; used only for an upcoming step.
     pub(super) check_at: Timestamp,
     /// Expected run time of this step plus that of the longest chain of steps after it.
     pub(super) remaining: Duration,
--- a/src/batch/dispatch/reservations.rs
+++ b/src/batch/dispatch/reservations.rs
@@ -31,8 +31,8 @@
 const LASTING_STRICT_AFTER: Duration = Duration::from_secs(1);
 /// Wait after which lasting tasks preempt other runs instead of waiting for these to end.
 const LASTING_PREEMPT_AFTER: Duration = Duration::from_millis(2_500);
-/// How long a lasting task prefers the same minion without getting its room. A run there takes
-/// longer than expected and may hang.
+/// How long a lasting task prefers the same minion without getting its room. After that, a run
+/// there takes longer than expected and may hang, so the minion is no longer preferred.
 const STRICT_RESERVATION_MAX: Duration = Duration::from_secs(3);
 
 /// Room of one minion that is reserved against all steps later in the order of service.
@@ -94,6 +94,7 @@
         self.count += 1;
     }
 
+    /// Undoes the latest additions. `places` must be the last ones added on their minions.
     fn remove(&mut self, places: &[Place]) {
         for place in places.iter().rev() {
             let reservations = self.by_minion.get_mut(&place.minion);
@@ -314,8 +315,9 @@
         !expected.is_empty()
     }
 
-    /// Whether runs may be preempted for a step. Not for a job that is late already or beyond the
-    /// share of its workspace: it is worth no more than the work it would replace.
+    /// Whether runs may be preempted for a step. Not for a job that is late already or was
+    /// submitted above the weight of its workspace: it is worth no more than the work it would
+    /// replace.
     fn may_preempt_for(&self, waiting: WaitingStep) -> bool {
         let WaitingStep {
             now,
@@ -396,7 +398,9 @@
         best
     }
 
-    /// Whether a minion could run one more task of a step, regardless of its free room and tickets.
+    /// Whether room for one more task of a step could be reserved on a minion: it is eligible, its
+    /// whole capacity suffices, and the step's runs and reservations there are below the maximum
+    /// per minion. Regardless of its free room and tickets.
     fn could_run(&self, minion: &Minion, waiting: WaitingStep) -> bool {
         let WaitingStep { now, id, step, .. } = waiting;
         let most = waiting.spec.max_per_minion.unwrap_or(u32::MAX);
--- a/src/batch/dispatch/speed.rs
+++ b/src/batch/dispatch/speed.rs
@@ -13,7 +13,7 @@
 /// Limit on the ratio between declared and measured time, either way, for a single run.
 const MAX_RATIO: f64 = 4.0;
 
-/// Moving average of the logarithm of measured by declared run time.
+/// Moving average of the logarithm of measured by declared run time; higher means slower.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Pace {
     mean: f64,
