--- a/src/batch/dispatch/answers.rs
+++ b/src/batch/dispatch/answers.rs
@@ -70,13 +70,13 @@
     ) {
         match (order, answer) {
             (OrderKind::Hold, MinionAnswer::Hold(answer)) => {
-                self.held(now, number, sent, answer, ledger);
+                self.hold_answered(now, number, sent, answer, ledger);
             }
             (OrderKind::Start(task, run), MinionAnswer::Order(answer)) => {
-                self.started(now, number, (*task, *run), sent, answer, ledger);
+                self.start_answered(now, number, (*task, *run), sent, answer, ledger);
             }
             (OrderKind::Stop(task, run), MinionAnswer::Order(answer)) => {
-                self.stopped(now, number, (*task, *run), sent, answer);
+                self.stop_answered(now, number, (*task, *run), sent, answer);
             }
             // The answer is not of the order's kind.
             _ => {}
@@ -84,7 +84,7 @@
     }
 
     /// Handles the answer to a start order that was sent at `sent`.
-    pub fn started(
+    pub fn start_answered(
         &mut self,
         now: Timestamp,
         number: MinionNumber,
@@ -214,7 +214,7 @@
     }
 
     /// Handles the answer to a stop order that was sent at `sent`.
-    pub fn stopped(
+    pub fn stop_answered(
         &mut self,
         now: Timestamp,
         number: MinionNumber,
--- a/src/batch/dispatch/applied.rs
+++ b/src/batch/dispatch/applied.rs
@@ -55,7 +55,7 @@
     }
 
     fn batch_applied(&mut self, now: Timestamp, ledger: &Ledger, batch: &Batch) {
-        if let Some(seen) = self.batches.pop_front() {
+        if let Some(seen) = self.uncommitted_ends.pop_front() {
             self.acknowledge(seen);
         }
         for end in &batch.ends {
--- a/src/batch/dispatch/crashes.rs
+++ b/src/batch/dispatch/crashes.rs
@@ -120,7 +120,7 @@
     /// Ranks a minion for a run on trial; `score` is its ordinary score.
     pub(super) fn trial_score(&self, now: Timestamp, minion: &Minion, score: Score) -> TrialScore {
         TrialScore {
-            not_heard: !minion.is_heard(now),
+            not_heard: !minion.is_known_up(now),
             runs: minion.runs.len(),
             score,
         }
@@ -177,7 +177,7 @@
             None
         }
         (RunState::Starting | RunState::InDoubt, Some(ordered))
-            if minion.is_heard(ordered) && minion.was_down_by(ordered + HARMLESS_AFTER) =>
+            if minion.is_known_up(ordered) && minion.was_down_by(ordered + HARMLESS_AFTER) =>
         {
             Some(Certainty::InDoubt)
         }
--- a/src/batch/dispatch/holds.rs
+++ b/src/batch/dispatch/holds.rs
@@ -32,7 +32,7 @@
 ///
 /// Holds to such minions wait `HOLD_WAIT_SHORT`. A lost answer shows only after up to 1.5 s, and
 /// the repeated hold grants no lease: with waits of 2 s, one lost hold let all runs there lapse.
-pub(super) const LEAVING_LEASE: Duration = Duration::from_secs(4);
+pub(super) const DRAINING_LEASE: Duration = Duration::from_secs(4);
 /// Pause before the next hold to a minion that did not answer; grows by as much with each failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Upper bound of that pause.
@@ -87,7 +87,7 @@
             return;
         };
         let lease = if minion.draining {
-            longest.min(LEAVING_LEASE)
+            longest.min(DRAINING_LEASE)
         } else {
             longest
         };
@@ -95,11 +95,11 @@
         // could never be started elsewhere while the leader keeps retrying.
         let deadline = minion
             .lease_deadline(now, lease)
-            .filter(|_| minion.silent_calls == 0);
+            .filter(|_| minion.failed_holds == 0);
         minion.lease = minion.lease.max(deadline.unwrap_or_default());
         minion.hold = HoldState::Waiting(wait);
         // A silent minion may have restarted and numbers its ends from the start again.
-        let acked = if minion.silent_calls == 0 {
+        let acked = if minion.failed_holds == 0 {
             minion.acked_end
         } else {
             0
@@ -135,11 +135,11 @@
     /// How long a minion may wait for a run to end before it answers its next hold.
     fn hold_wait(&self, now: Timestamp, minion: &Minion) -> Duration {
         let present = minion.presence == Presence::Present;
-        if !minion.fenced || minion.silent_calls > 0 || !present {
+        if !minion.fenced || minion.failed_holds > 0 || !present {
             Duration::ZERO
         } else if minion.trials > 0 {
             // A recent answer must show that it is up before the run on trial starts.
-            if minion.is_heard(now) {
+            if minion.is_known_up(now) {
                 HOLD_WAIT_TRIAL
             } else {
                 Duration::ZERO
@@ -160,7 +160,7 @@
     }
 
     /// Handles the answer to the hold that was sent at `sent`.
-    pub fn held(
+    pub fn hold_answered(
         &mut self,
         now: Timestamp,
         number: MinionNumber,
@@ -202,11 +202,11 @@
                 if let HoldAnswer::Silent(failure) = answer {
                     minion.record_failed_call(sent, failure, now);
                 }
-                minion.silent_calls += 1;
+                minion.failed_holds += 1;
                 // The first retry follows at once, over another connection.
-                let pause = (RETRY_PAUSE * (minion.silent_calls - 1)).min(RETRY_PAUSE_MAX);
+                let pause = (RETRY_PAUSE * (minion.failed_holds - 1)).min(RETRY_PAUSE_MAX);
                 minion.hold = HoldState::Due(now + pause);
-                if minion.silent_calls == 1 {
+                if minion.failed_holds == 1 {
                     let event = Event::MinionSilent {
                         minion: minion.report.id.clone(),
                         brought: answer.as_str(),
@@ -230,7 +230,7 @@
         let Some(minion) = self.minions.get(&number) else {
             return;
         };
-        if minion.silent_calls == 0 {
+        if minion.failed_holds == 0 {
             return;
         }
         let idle = minion.runs.is_empty() && minion.orphaned_runs.is_empty();
--- a/src/batch/dispatch/listings.rs
+++ b/src/batch/dispatch/listings.rs
@@ -139,10 +139,11 @@
         }
     }
 
-    /// Ends the run of a task: frees its room and adds its end to the next batch.
+    /// Ends the run of a task: frees its room and adds its end to the next batch. The logged age of
+    /// the run is its age at `at`.
     pub(super) fn run_over(
         &mut self,
-        now: Timestamp,
+        at: Timestamp,
         task: TaskId,
         kind: EndKind,
         checkpoint: Checkpoint,
@@ -167,7 +168,7 @@
             run: run.run,
             minion: id.unwrap_or_default(),
             kind,
-            age: now.saturating_sub(run.proposed),
+            age: at.saturating_sub(run.proposed),
         });
         self.batch.ends.push(End {
             task,
--- a/src/batch/dispatch/minion.rs
+++ b/src/batch/dispatch/minion.rs
@@ -126,7 +126,7 @@
     /// It has answered a hold with this leader's token, so it refuses orders of earlier leaders.
     pub(super) fenced: bool,
     /// When leases granted by earlier leaders are certainly over, on this replica's clock.
-    pub(super) assumed_until: Timestamp,
+    pub(super) earlier_leases_until: Timestamp,
     /// Highest deadline of a lease or a start that this leader has sent: a point in time on the
     /// minion's clock, or zero if none was sent.
     pub(super) lease: Duration,
@@ -140,7 +140,7 @@
     /// Earliest time by which it is known to have been down; reset by an answer.
     down_by: Option<Timestamp>,
     /// Holds in a row that were refused or got no answer; reset by any answer with its clock.
-    pub(super) silent_calls: u32,
+    pub(super) failed_holds: u32,
     pub(super) hold: HoldState,
     /// When the latest unanswered order was sent; reset by the answer to a later one.
     unanswered: Option<Timestamp>,
@@ -183,14 +183,14 @@
             presence: Presence::Present,
             unreported: false,
             fenced: false,
-            assumed_until: Timestamp::ZERO,
+            earlier_leases_until: Timestamp::ZERO,
             lease: Duration::ZERO,
             clock: None,
             heard: now,
             reported: now,
             last_sign_of_life: Timestamp::ZERO,
             down_by: None,
-            silent_calls: 0,
+            failed_holds: 0,
             hold: HoldState::Due(now),
             unanswered: None,
             seen_end: 0,
@@ -263,7 +263,7 @@
             (Presence::Present, _) => None,
             (_, CallFailure::Refused) => Some(GoneEvidence::Refused),
             (Presence::Leaving(at), CallFailure::Lost | CallFailure::Broken)
-                if sent >= at + stop_time && self.silent_calls > 1 =>
+                if sent >= at + stop_time && self.failed_holds > 1 =>
             {
                 Some(GoneEvidence::Silent)
             }
@@ -287,14 +287,14 @@
         });
         self.heard = now;
         self.down_by = None;
-        self.silent_calls = 0;
+        self.failed_holds = 0;
         if self.unanswered.is_some_and(|since| sent >= since) {
             self.unanswered = None;
         }
     }
 
     /// Whether its last sign of life is recent enough at `at` to count it as up.
-    pub(super) fn is_heard(&self, at: Timestamp) -> bool {
+    pub(super) fn is_known_up(&self, at: Timestamp) -> bool {
         at <= self.last_sign_of_life + SIGN_OF_LIFE_MAX_AGE
     }
 
@@ -380,7 +380,7 @@
     /// shorter one.
     pub(super) fn lease_over(&self, now: Timestamp) -> bool {
         let own = self.lease.is_zero() || self.is_past(self.lease, now);
-        own && now > self.assumed_until
+        own && now > self.earlier_leases_until
     }
 
     pub(super) fn free(&self) -> Resources {
@@ -389,25 +389,25 @@
 
     /// Whether holds should be sent to it at all: it may hold runs, or its state is uncertain.
     pub(super) fn wants_hold(&self) -> bool {
-        let in_doubt = !self.fenced || self.presence != Presence::Present || !self.answers();
+        let in_doubt = !self.fenced || self.presence != Presence::Present || !self.is_responsive();
         self.is_busy() || (in_doubt && !self.foreign)
     }
 
     /// Whether a hold may be due, or its runs may have to be ended.
     pub(super) fn needs_maintenance(&self, now: Timestamp) -> bool {
         let due = matches!(self.hold, HoldState::Due(at) if now >= at);
-        self.silent_calls > 0 || (due && self.wants_hold())
+        self.failed_holds > 0 || (due && self.wants_hold())
     }
 
     /// Whether no hold or order has failed since the last one that was answered. One that is still
     /// pending has not failed.
-    pub(super) fn answers(&self) -> bool {
-        self.silent_calls == 0 && self.unanswered.is_none()
+    pub(super) fn is_responsive(&self) -> bool {
+        self.failed_holds == 0 && self.unanswered.is_none()
     }
 
     /// Whether it may get new work now.
     pub(super) fn takes_work(&self, now: Timestamp) -> bool {
-        let sound = self.answers() && now >= self.avoid_until;
+        let sound = self.is_responsive() && now >= self.avoid_until;
         self.fenced && self.stays() && !self.foreign && !self.unreported && sound
     }
 
--- a/src/batch/dispatch/mod.rs
+++ b/src/batch/dispatch/mod.rs
@@ -124,7 +124,7 @@
     unacknowledged: BTreeSet<MinionNumber>,
     /// One entry for each uncommitted batch: the last end received from each minion. These are
     /// acknowledged on commit.
-    batches: VecDeque<Vec<(MinionNumber, u64)>>,
+    uncommitted_ends: VecDeque<Vec<(MinionNumber, u64)>>,
     /// Time of the last log line about unreadable rows.
     unreadable_logged_at: Option<Timestamp>,
     /// Set when something that placement depends on has changed.
@@ -181,7 +181,7 @@
             changed_minions: BTreeSet::new(),
             next_minion_scan: now,
             unacknowledged: BTreeSet::new(),
-            batches: Default::default(),
+            uncommitted_ends: Default::default(),
             unreadable_logged_at: None,
             placement_requested: true,
             place_not_before: now,
@@ -199,7 +199,7 @@
         for (number, record) in &ledger.minions {
             let mut minion = Minion::new(*number, record.report.clone(), now);
             minion.draining |= record.draining;
-            minion.assumed_until = assumed;
+            minion.earlier_leases_until = assumed;
             d.add_minion(minion);
         }
         d.refresh_limits(ledger);
@@ -226,12 +226,16 @@
     /// before can last longer. Without this a new leader assumes the longest lease for each silent
     /// minion, and the tasks of a minion whose last message was lost with the old leader are down
     /// for all of it.
-    pub fn assume_leaving(&mut self, now: Timestamp, since: &BTreeMap<MinionNumber, Timestamp>) {
+    pub fn shorten_earlier_leases(
+        &mut self,
+        now: Timestamp,
+        since: &BTreeMap<MinionNumber, Timestamp>,
+    ) {
         for (number, reported) in since {
             if let Some(minion) = self.minions.get_mut(number) {
                 let before = *reported + max_lease_on_local_clock(self.cfg.lease_max);
-                let after = now + max_lease_on_local_clock(holds::LEAVING_LEASE);
-                minion.assumed_until = minion.assumed_until.min(before.max(after));
+                let after = now + max_lease_on_local_clock(holds::DRAINING_LEASE);
+                minion.earlier_leases_until = minion.earlier_leases_until.min(before.max(after));
             }
         }
     }
@@ -374,7 +378,7 @@
         self.refresh_capacities(now);
         self.refresh_ready(now, ledger);
         self.maintain_minions(now);
-        let may_propose = self.batches.len() < MAX_UNCOMMITTED_BATCHES;
+        let may_propose = self.uncommitted_ends.len() < MAX_UNCOMMITTED_BATCHES;
         let wanted = self.placement_requested && now >= self.place_not_before;
         if may_propose && (wanted || now >= self.place_at) {
             self.place(now, unix, ledger);
@@ -393,12 +397,12 @@
             .map(|m| (m.number, m.seen_end))
             .collect();
         if batch.is_empty() {
-            if self.batches.is_empty() {
+            if self.uncommitted_ends.is_empty() {
                 self.acknowledge(seen);
             }
             return None;
         }
-        self.batches.push_back(seen);
+        self.uncommitted_ends.push_back(seen);
         Some(batch)
     }
 
--- a/src/batch/dispatch/place.rs
+++ b/src/batch/dispatch/place.rs
@@ -89,7 +89,7 @@
         }
         let state = self.limit_state(&step, spec);
         if state != LimitState::Open {
-            if state == LimitState::First {
+            if state == LimitState::Reserved {
                 self.prepare_for_limit(now, unix, id, &step, spec);
             }
             self.ready.insert(id, step);
--- a/src/batch/dispatch/questions.rs
+++ b/src/batch/dispatch/questions.rs
@@ -23,7 +23,7 @@
 
 /// Beyond the ordinary limit, one question for this many processes, and at least one, may be
 /// pending for lasting steps, and as many for steps that were passed over.
-const AGENTS_PER_RESERVED: usize = 4;
+const AGENTS_PER_EXTRA: usize = 4;
 
 /// A pending question.
 #[derive(Clone, Debug)]
@@ -58,11 +58,11 @@
     /// Whether another question of a class may be sent. `agents` is the number of processes that
     /// can send one, `ordinary` the limit of the ordinary class. Each class has a limit of its own.
     pub(super) fn may_send(&self, class: QuestionClass, agents: usize, ordinary: usize) -> bool {
-        let reserved = agents / AGENTS_PER_RESERVED;
+        let extra = agents / AGENTS_PER_EXTRA;
         match class {
             QuestionClass::Ordinary => self.ordinary < ordinary.max(1),
-            QuestionClass::Lasting => self.lasting < reserved.max(1),
-            QuestionClass::PassedOver => self.passed_over < reserved.max(1),
+            QuestionClass::Lasting => self.lasting < extra.max(1),
+            QuestionClass::PassedOver => self.passed_over < extra.max(1),
         }
     }
 
--- a/src/batch/dispatch/quota.rs
+++ b/src/batch/dispatch/quota.rs
@@ -40,7 +40,7 @@
     Open,
     /// The step waits for the limit. It is the first of its workspace that can run under the limit
     /// beside the lasting tasks, so what it needs of the limit is reserved for it.
-    First,
+    Reserved,
     /// The step waits for the limit behind another step, or can't start while lasting tasks run.
     Blocked,
 }
@@ -209,7 +209,7 @@
         let required = required(step, spec);
         let owner = step.owner.as_ref();
         if owner.is_some_and(|owner| self.quotas.reserve(owner, &required)) {
-            LimitState::First
+            LimitState::Reserved
         } else {
             LimitState::Blocked
         }
--- a/src/batch/dispatch/reservations.rs
+++ b/src/batch/dispatch/reservations.rs
@@ -379,7 +379,7 @@
         };
         let mut best: Option<Place> = None;
         for minion in self.listed_minions(waiting.id, waiting.step, StepAdvice::allowed) {
-            if !self.could_run(minion, waiting) {
+            if !self.could_reserve(minion, waiting) {
                 continue;
             }
             let place = match source {
@@ -401,7 +401,7 @@
     /// Whether room for one more task of a step could be reserved on a minion: it is eligible, its
     /// whole capacity suffices, and the step's runs and reservations there are below the maximum
     /// per minion. Regardless of its free room and tickets.
-    fn could_run(&self, minion: &Minion, waiting: WaitingStep) -> bool {
+    fn could_reserve(&self, minion: &Minion, waiting: WaitingStep) -> bool {
         let WaitingStep { now, id, step, .. } = waiting;
         let most = waiting.spec.max_per_minion.unwrap_or(u32::MAX);
         let own = || {
--- a/src/batch/dispatch/restarts.rs
+++ b/src/batch/dispatch/restarts.rs
@@ -87,7 +87,7 @@
         } else {
             ORDER_EXPIRY
         };
-        minion.assumed_until = now + max_lease_on_local_clock(self.cfg.lease_max) + late;
+        minion.earlier_leases_until = now + max_lease_on_local_clock(self.cfg.lease_max) + late;
         let successor = minion.number;
         minion.unanswered_starts = unanswered.clone();
         let target = minion.target();
--- a/src/batch/machine.rs
+++ b/src/batch/machine.rs
@@ -234,7 +234,7 @@
         self.rejected_batches.clear();
         self.dispatcher = leading.then(|| {
             let mut dispatcher = Dispatcher::new(self.cfg.clone(), self.term, &self.ledger, now);
-            dispatcher.assume_leaving(now, &self.draining_since);
+            dispatcher.shorten_earlier_leases(now, &self.draining_since);
             dispatcher.set_agents(self.agents);
             dispatcher
         });
--- a/tests/batch_capacity.rs
+++ b/tests/batch_capacity.rs
@@ -111,7 +111,9 @@
     let gone = world.ledger.minion_number(&"i-2".into());
     let gone = gone.expect("it joined");
     let (now, answer) = (world.now, HoldAnswer::OtherIncarnation);
-    world.leader.held(now, gone, now, answer, &world.ledger);
+    world
+        .leader
+        .hold_answered(now, gone, now, answer, &world.ledger);
     world.commit(batch);
     assert_eq!(world.take_starts().len(), 0);
     world.join("i-4", 4);
@@ -132,7 +134,7 @@
     world.submit(JOB + 1, vec![step(1, 6_000)]);
     let clock = Some(world.now);
     let sent = world.now;
-    world.leader.stopped(
+    world.leader.stop_answered(
         world.now,
         minion,
         (run.task, run.run),
--- a/tests/batch_departures.rs
+++ b/tests/batch_departures.rs
@@ -59,7 +59,9 @@
             };
             let answer = HoldAnswer::Listing(listing);
             let (now, ledger) = (world.now, &world.ledger);
-            world.leader.held(now, minion, sent, answer, ledger);
+            world
+                .leader
+                .hold_answered(now, minion, sent, answer, ledger);
         }
         world.advance(TICK);
     }
@@ -75,7 +77,9 @@
 fn leave_unanswered(world: &mut World, minion: MinionNumber, sent: Duration, failure: CallFailure) {
     let answer = HoldAnswer::Silent(failure);
     let (now, ledger) = (world.now, &world.ledger);
-    world.leader.held(now, minion, sent, answer, ledger);
+    world
+        .leader
+        .hold_answered(now, minion, sent, answer, ledger);
     world.decide();
 }
 
@@ -303,7 +307,9 @@
     };
     let (now, ledger) = (world.now, &world.ledger);
     let answer = HoldAnswer::Listing(listing);
-    world.leader.held(now, minion, first_term, answer, ledger);
+    world
+        .leader
+        .hold_answered(now, minion, first_term, answer, ledger);
     world.submit(JOB, vec![lasting(1, 1_000)]);
     assert_eq!(world.take_starts(), []);
     world.answer_first_hold_of("i-1");
--- a/tests/batch_world/cell.rs
+++ b/tests/batch_world/cell.rs
@@ -37,7 +37,7 @@
             let ledger = &world.ledger;
             world
                 .leader
-                .started(now, minion, (task, run), now, answer, ledger);
+                .start_answered(now, minion, (task, run), now, answer, ledger);
         }
         let stops: BTreeSet<_> = world.take_stops().iter().map(|s| (s.1, s.2)).collect();
         self.stopped += stops.len();
@@ -48,7 +48,7 @@
                 let (now, answer) = (world.now, Answer::Done { clock });
                 world
                     .leader
-                    .stopped(now, minion, (*task, *run), now, answer);
+                    .stop_answered(now, minion, (*task, *run), now, answer);
             }
         }
         let over = self
@@ -95,7 +95,7 @@
             };
             let answer = HoldAnswer::Listing(listing);
             let (now, ledger) = (world.now, &world.ledger);
-            world.leader.held(now, minion, now, answer, ledger);
+            world.leader.hold_answered(now, minion, now, answer, ledger);
         }
         world.decide();
     }
--- a/tests/batch_world/mod.rs
+++ b/tests/batch_world/mod.rs
@@ -192,7 +192,8 @@
     /// Replaces the leader by a new one that knows only the ledger and when minions began to drain.
     pub fn new_leader(&mut self, term: u64) {
         self.leader = Dispatcher::new(self.cfg.clone(), term, &self.ledger, self.now);
-        self.leader.assume_leaving(self.now, &self.draining_since);
+        self.leader
+            .shorten_earlier_leases(self.now, &self.draining_since);
         self.orders.clear();
         self.decide();
     }
@@ -371,7 +372,7 @@
         self.now += ms(2);
         let answer = HoldAnswer::Listing(listing);
         self.leader
-            .held(self.now, minion, sent, answer, &self.ledger);
+            .hold_answered(self.now, minion, sent, answer, &self.ledger);
         self.decide();
     }
 
@@ -412,7 +413,7 @@
     pub fn silent_hold(&mut self, minion: MinionNumber) {
         let answer = HoldAnswer::Silent(CallFailure::Lost);
         self.leader
-            .held(self.now, minion, self.now, answer, &self.ledger);
+            .hold_answered(self.now, minion, self.now, answer, &self.ledger);
         self.decide();
     }
 
@@ -420,7 +421,7 @@
         let sent = self.now;
         self.now += ms(2);
         self.leader
-            .started(self.now, minion, (task, run), sent, answer, &self.ledger);
+            .start_answered(self.now, minion, (task, run), sent, answer, &self.ledger);
         self.decide();
     }
 
