--- a/src/batch/dispatch/gangs.rs
+++ b/src/batch/dispatch/gangs.rs
@@ -52,9 +52,15 @@
 
     /// Minions that can run members of a gang, by rack, the best score first. A minion with
     /// reservations counts for one member only.
-    fn gang_places(&self, now: Timestamp, id: StepId, step: &ReadyStep, spec: &StepSpec) -> Places {
+    fn gang_places(
+        &self,
+        now: Timestamp,
+        id: StepId,
+        step: &ReadyStep,
+        spec: &StepSpec,
+    ) -> SlotsByRack {
         let need = demand(spec);
-        let mut places = Places::new();
+        let mut places = SlotsByRack::new();
         for minion in self.minions.values() {
             if !self.may_run(now, minion, id, step, spec, &need) {
                 continue;
@@ -66,7 +72,7 @@
                 1
             };
             let rack = places.entry(minion.rack).or_default();
-            rack.push(Place {
+            rack.push(MinionSlots {
                 score: self.score(minion, step, spec, &need),
                 slots,
                 minion: minion.number,
@@ -80,29 +86,29 @@
 }
 
 /// Minions that can run members, by rack, best first.
-type Places = BTreeMap<usize, Vec<Place>>;
+type SlotsByRack = BTreeMap<usize, Vec<MinionSlots>>;
 
 /// A minion that can run members of a gang.
 #[derive(Clone, Copy)]
-struct Place {
+struct MinionSlots {
     score: Score,
     /// Members that fit on it.
     slots: u32,
     minion: MinionNumber,
 }
 
-fn one_rack(places: &Places, size: usize) -> Option<Vec<MinionNumber>> {
+fn one_rack(places: &SlotsByRack, size: usize) -> Option<Vec<MinionNumber>> {
     places.values().find_map(|rack| choose(rack, size))
 }
 
-fn any_rack(places: &Places, size: usize) -> Option<Vec<MinionNumber>> {
+fn any_rack(places: &SlotsByRack, size: usize) -> Option<Vec<MinionNumber>> {
     let mut all: Vec<_> = places.values().flatten().copied().collect();
     all.sort_unstable_by_key(|place| place.score);
     choose(&all, size)
 }
 
 /// Fills minions in the given order; `None` if they hold fewer than `size` members.
-fn choose(places: &[Place], size: usize) -> Option<Vec<MinionNumber>> {
+fn choose(places: &[MinionSlots], size: usize) -> Option<Vec<MinionNumber>> {
     let mut chosen = Vec::with_capacity(size);
     for place in places {
         let left = size - chosen.len();
--- a/src/batch/dispatch/holds.rs
+++ b/src/batch/dispatch/holds.rs
@@ -153,7 +153,7 @@
 
     fn wants_short_wait(&self, minion: &Minion) -> bool {
         let short = |run: &super::run::Run| {
-            !run.estimate.is_zero() && run.estimate <= SHORT_RUN || run.is_stopping()
+            !run.declared.is_zero() && run.declared <= SHORT_RUN || run.is_stopping()
         };
         let mut runs = minion.runs.iter().filter_map(|id| self.runs.get(id));
         minion.draining || runs.any(short)
--- a/src/batch/dispatch/listings.rs
+++ b/src/batch/dispatch/listings.rs
@@ -109,9 +109,9 @@
         };
         minion.succeeded();
         let run_time = run.elapsed(now);
-        self.profiles.learn(&run.queue, run.estimate, run_time);
+        self.profiles.learn(&run.queue, run.declared, run_time);
         if self.cfg.mechanisms.has(Mechanism::LearntSpeeds) {
-            self.speeds.learn(&mut minion.pace, run.estimate, run_time);
+            self.speeds.learn(&mut minion.pace, run.declared, run_time);
         }
         if run.resumed || run_time.is_zero() {
             return;
@@ -140,10 +140,10 @@
     }
 
     /// Ends the run of a task: frees its room and adds its end to the next batch. The logged age of
-    /// the run is its age at `at`.
+    /// the run is its age at `as_of`.
     pub(super) fn run_over(
         &mut self,
-        at: Timestamp,
+        as_of: Timestamp,
         task: TaskId,
         kind: EndKind,
         checkpoint: Checkpoint,
@@ -168,7 +168,7 @@
             run: run.run,
             minion: id.unwrap_or_default(),
             kind,
-            age: at.saturating_sub(run.proposed),
+            age: as_of.saturating_sub(run.proposed),
         });
         self.batch.ends.push(End {
             task,
--- a/src/batch/dispatch/place.rs
+++ b/src/batch/dispatch/place.rs
@@ -342,7 +342,7 @@
         let checkpoint = record.checkpoint.clone();
         let mut run = Run::new(run, number, (spec, &step.queue), checkpoint, now);
         run.owner = step.owner.clone();
-        run.expected = self.expected_time(&step.queue.name, run.estimate);
+        run.expected = self.expected_time(&step.queue.name, run.declared);
         if record.crashes.any() {
             run.suspicion = Suspicion::Trial;
         }
--- a/src/batch/dispatch/run.rs
+++ b/src/batch/dispatch/run.rs
@@ -81,7 +81,7 @@
     /// Priority of the queue; 0 is the most urgent.
     pub(super) priority: u32,
     /// Declared run time; zero when it resumes from a checkpoint or is lasting.
-    pub(super) estimate: Duration,
+    pub(super) declared: Duration,
     /// Expected run time; zero when it resumes from a checkpoint or is lasting.
     pub(super) expected: Duration,
     /// Progress from the minion's listings; `None` before the first.
@@ -121,7 +121,7 @@
             suspicion: Suspicion::None,
             suspected: None,
             proposed: now,
-            estimate: if checkpoint.is_empty() && spec.lifetime == Lifetime::Finite {
+            declared: if checkpoint.is_empty() && spec.lifetime == Lifetime::Finite {
                 spec.estimate
             } else {
                 Duration::ZERO
