--- a/src/batch/dispatch/holds.rs
+++ b/src/batch/dispatch/holds.rs
@@ -17,8 +17,8 @@
 /// each answer costs a call.
 const HOLD_WAIT: Duration = Duration::from_millis(2000);
 /// The same for a minion with short runs. A lost answer hides all ends on its minion until the hold
-/// times out: with 5% of the answers lost, a wait of 2 s made one check in six late by 2.7 s (age
-/// of ends against declared times, over a day of 700 jobs).
+/// times out: with 5% of the answers lost, a wait of 2 s made one quick check (a short job) in six
+/// late by 2.7 s (age of ends against declared times, over a day of 700 jobs).
 const HOLD_WAIT_SHORT: Duration = Duration::from_millis(500);
 /// The same for a minion with a run on trial: nothing else starts there until that run is listed.
 const HOLD_WAIT_TRIAL: Duration = Duration::from_millis(200);
@@ -26,12 +26,13 @@
 const SHORT_RUN: Duration = Duration::from_millis(3000);
 /// Margin subtracted from the longest lease, as the minion's clock was read up to a round trip ago.
 const LEASE_RESERVE: Duration = Duration::from_millis(200);
-/// Lease of a minion that has announced that it leaves. It will end soon, and its last message may
-/// be lost with a leader or arrive while there is none; with a full lease of 10 s its lasting tasks
-/// were then down for all of it. A lost answer shows only after up to 1.5 s, and the repeated hold
-/// grants no lease, so holds to such minions wait `HOLD_WAIT_SHORT`: with waits of 2 s, one lost
-/// hold let all runs there lapse.
-pub(super) const LEAVING_LEASE: Duration = Duration::from_secs(4);
+/// Lease of a minion that has reported or announced that it drains. It will end soon, and its last
+/// message may be lost with a leader or arrive while there is none; with a full lease of 10 s its
+/// lasting tasks were then down for all of it.
+///
+/// Holds to such minions wait `HOLD_WAIT_SHORT`. A lost answer shows only after up to 1.5 s, and
+/// the repeated hold grants no lease: with waits of 2 s, one lost hold let all runs there lapse.
+pub(super) const DRAINING_LEASE: Duration = Duration::from_secs(4);
 /// Pause before the next hold to a minion that did not answer; grows by as much with each failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 /// Upper bound of that pause.
@@ -86,7 +87,7 @@
             return;
         };
         let lease = if minion.draining {
-            longest.min(LEAVING_LEASE)
+            longest.min(DRAINING_LEASE)
         } else {
             longest
         };
@@ -94,11 +95,11 @@
         // could never be started elsewhere while the leader keeps retrying.
         let deadline = minion
             .lease_deadline(now, lease)
-            .filter(|_| minion.silent_calls == 0);
+            .filter(|_| minion.failed_holds == 0);
         minion.lease = minion.lease.max(deadline.unwrap_or_default());
         minion.hold = HoldState::Waiting(wait);
         // A silent minion may have restarted and numbers its ends from the start again.
-        let acked = if minion.silent_calls == 0 {
+        let acked = if minion.failed_holds == 0 {
             minion.acked_end
         } else {
             0
@@ -134,11 +135,11 @@
     /// How long a minion may wait for a run to end before it answers its next hold.
     fn hold_wait(&self, now: Timestamp, minion: &Minion) -> Duration {
         let present = minion.presence == Presence::Present;
-        if !minion.fenced || minion.silent_calls > 0 || !present {
+        if !minion.fenced || minion.failed_holds > 0 || !present {
             Duration::ZERO
         } else if minion.trials > 0 {
             // A recent answer must show that it is up before the run on trial starts.
-            if minion.is_heard(now) {
+            if minion.is_known_up(now) {
                 HOLD_WAIT_TRIAL
             } else {
                 Duration::ZERO
@@ -152,14 +153,14 @@
 
     fn wants_short_wait(&self, minion: &Minion) -> bool {
         let short = |run: &super::run::Run| {
-            !run.estimate.is_zero() && run.estimate <= SHORT_RUN || run.is_stopping()
+            !run.declared.is_zero() && run.declared <= SHORT_RUN || run.is_stopping()
         };
         let mut runs = minion.runs.iter().filter_map(|id| self.runs.get(id));
         minion.draining || runs.any(short)
     }
 
     /// Handles the answer to the hold that was sent at `sent`.
-    pub fn held(
+    pub fn hold_answered(
         &mut self,
         now: Timestamp,
         number: MinionNumber,
@@ -201,11 +202,11 @@
                 if let HoldAnswer::Silent(failure) = answer {
                     minion.record_failed_call(sent, failure, now);
                 }
-                minion.silent_calls += 1;
+                minion.failed_holds += 1;
                 // The first retry follows at once, over another connection.
-                let pause = (RETRY_PAUSE * (minion.silent_calls - 1)).min(RETRY_PAUSE_MAX);
+                let pause = (RETRY_PAUSE * (minion.failed_holds - 1)).min(RETRY_PAUSE_MAX);
                 minion.hold = HoldState::Due(now + pause);
-                if minion.silent_calls == 1 {
+                if minion.failed_holds == 1 {
                     let event = Event::MinionSilent {
                         minion: minion.report.id.clone(),
                         brought: answer.as_str(),
@@ -229,7 +230,7 @@
         let Some(minion) = self.minions.get(&number) else {
             return;
         };
-        if minion.silent_calls == 0 {
+        if minion.failed_holds == 0 {
             return;
         }
         let idle = minion.runs.is_empty() && minion.orphaned_runs.is_empty();
@@ -290,6 +291,7 @@
         } else {
             EndKind::Lapsed
         };
+        // When it ended is not known, so the ages of its runs are logged as of the last contact.
         for task in tasks {
             self.run_over(heard, task, kind, Default::default());
         }
