--- a/src/batch/link.rs
+++ b/src/batch/link.rs
@@ -50,8 +50,8 @@
 }
 
 /// Retry delay for a caller after there has been no leader for `leaderless`. An outage that has
-/// lasted for some time is expected to last about as long again; with a delay of one second, callers
-/// would use up their retries before an outage of four seconds ends.
+/// lasted for some time is expected to last about as long again; with a delay of one second,
+/// callers would use up their retries before an outage of four seconds ends.
 pub fn retry_after(leaderless: Duration) -> Duration {
     leaderless.clamp(RETRY_AFTER, MAX_RETRY_AFTER)
 }
--- a/src/lease/table.rs
+++ b/src/lease/table.rs
@@ -17,8 +17,8 @@
 /// Leases by holder.
 ///
 /// Renewals are not written to the log. A new leader has no record of its predecessor's grants, so
-/// it calls [`LeaseTable::assume_granted`] for every holder in the replicated state: any earlier grant
-/// has expired one full [`grantor_ttl`] after it began to lead.
+/// it calls [`LeaseTable::assume_granted`] for every holder in the replicated state: any earlier
+/// grant has expired one full [`grantor_ttl`] after it began to lead.
 #[derive(Clone, Debug)]
 pub struct LeaseTable<K> {
     leases: BTreeMap<K, Lease>,
