--- a/src/placement/events.rs
+++ b/src/placement/events.rs
@@ -16,7 +16,8 @@
 
 /// Delay before a refused start is retried.
 const REFUSED_START_DELAY: Duration = Duration::from_millis(200);
-/// Longest delay, at full waiting weight, of a long job's queue time behind shorter jobs.
+/// Longest run time that counts towards a job's queue time; at full waiting weight, the queue time
+/// is at most this much after the job's arrival.
 const MAX_QUEUE_DELAY: Duration = Duration::from_secs(900);
 
 impl Scheduler {
--- a/src/placement/explain.rs
+++ b/src/placement/explain.rs
@@ -9,7 +9,8 @@
 use crate::resources::Resources;
 use crate::workload::WorkClass;
 
-/// Number of workers by what they have room for.
+/// Numbers of suitable workers: those that take no tasks, those held for other jobs, and the others
+/// by what they have room for.
 #[derive(Debug, Default)]
 struct RoomCounts {
     suitable: u32,
--- a/src/placement/failures.rs
+++ b/src/placement/failures.rs
@@ -24,8 +24,8 @@
 const MAX_FAILED_ON: usize = 8;
 /// Number of different workers on which a job must fail before the job itself is at fault.
 const FAULTY_JOB_WORKERS: usize = 2;
-/// At most one worker in this many, plus one, is in quarantine, so that faulty jobs cannot empty
-/// the cell.
+/// At most the number of workers divided by this, plus one, are in quarantine, so that faulty jobs
+/// cannot empty the cell.
 const QUARANTINE_DIVISOR: usize = 4;
 
 impl Scheduler {
--- a/src/placement/feasibility.rs
+++ b/src/placement/feasibility.rs
@@ -34,6 +34,8 @@
     })
 }
 
+/// Sum of the largest numbers of workers that the groups have had so far, which may be more than
+/// the workers present now.
 fn count(groups: &[&Group]) -> u32 {
     groups.iter().map(|g| g.peak_workers).sum()
 }
--- a/src/placement/records.rs
+++ b/src/placement/records.rs
@@ -16,7 +16,7 @@
 /// Number of priority bands.
 pub(crate) const BANDS: usize = 4;
 
-/// Reference to a task that has a run.
+/// Identifies a task by its job and index, whether or not it has a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RunRef {
     pub(crate) job: JobIx,
--- a/src/placement/reservations.rs
+++ b/src/placement/reservations.rs
@@ -1,5 +1,6 @@
-//! Holds: workers whose room is kept for one job, either by a reservation for a gang or a large
-//! task that has waited long, or while runs are being preempted for a task.
+//! Holds and reservations. A hold keeps the room of one worker for one job. A reservation is the
+//! set of holds for a gang or a large task that has waited long; other holds keep room while runs
+//! are being preempted for a task.
 //!
 //! At most one job has a reservation. Two gangs that each hold half of what the other needs
 //! would wait forever; with one reservation the first one starts, then the other.
@@ -23,7 +24,8 @@
 /// A run past its expected end is expected to go on for its run time so far divided by this.
 const LATE_RUN_DIVISOR: u32 = 4;
 
-/// The reservation of the job that has waited longest.
+/// The reservation of a job: the first by band and queue time when the reservation was made. A
+/// later choice replaces it only if it is of a higher band.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reservation {
     pub(crate) job: JobIx,
@@ -99,7 +101,8 @@
         }
     }
 
-    /// Releases obsolete holds and reserves workers for the job that has waited longest.
+    /// Releases obsolete holds and reserves workers for the next job that may get a
+    /// reservation.
     pub(crate) fn update_holds(&mut self, now: Timestamp) {
         self.drop_idle_preemption_holds();
         self.drop_stale_reservation(now);
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -29,7 +29,7 @@
 /// that never becomes free cannot block it forever.
 const LEARNT_SIZE_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Places tasks by priority band, team quota and worker class.
+/// Places tasks by priority band and team quota, and searches the workers by classes of free room.
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) cell: Cell,
--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -137,7 +137,8 @@
         state.queue.push(id, &team, priority);
     }
 
-    /// Expected time until a request with `ahead` others before it in the queue is answered.
+    /// Expected time until a request with `ahead` others before it in the queue is answered:
+    /// its wait in the queue and its service time.
     fn expected_wait(&self, now: Timestamp, service: &ServiceName, ahead: usize) -> Duration {
         let mean = self.services.get(service).and_then(|s| s.latency.mean());
         let mean = mean.unwrap_or(DEFAULT_SERVICE_TIME);
--- a/src/routing/minions.rs
+++ b/src/routing/minions.rs
@@ -78,7 +78,8 @@
         let same = known.filter(|m| m.owned.minion.process == owned.minion.process);
         match same {
             Some(minion) => {
-                // With a new epoch and `lapsed`, a lost owner may have left requests running.
+                // With `lapsed`, the previous owner was lost and may have left requests running.
+                // Only a new epoch counts, so that one loss does not set `settling` again.
                 let changed = minion.owned.epoch != owned.epoch;
                 minion.settling |= changed && owned.lapsed;
                 minion.released &= owned.release;
@@ -159,7 +160,7 @@
                 epoch: minion.owned.epoch,
             });
         }
-        // A zero TTL marks a minion whose announcement lapsed. It may never answer the probe that
+        // A zero TTL marks a minion whose announcement expired. It may never answer the probe that
         // ends `settling`, and it gets no next owner, so it is released without that probe.
         let settled = !minion.settling || minion.owned.minion.ttl.is_zero();
         let drained = minion.owned.release && minion.in_use() == 0 && settled;
--- a/src/routing/model.rs
+++ b/src/routing/model.rs
@@ -121,7 +121,7 @@
     },
 }
 
-/// Destination of an attempt.
+/// Where the daemon sends an attempt, with the address and the epoch for a minion.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A minion that this entry host owns.
--- a/src/routing/peers.rs
+++ b/src/routing/peers.rs
@@ -37,6 +37,7 @@
         }
     }
 
+    /// Forgets the peer's load; it gets no requests until its next report.
     pub(super) fn lost(&mut self, id: &EntryId) {
         if let Some(peer) = self.peers.get_mut(id) {
             peer.loads = None;
@@ -125,7 +126,7 @@
     }
 }
 
-/// Queued requests per thousand slots, counting one more.
+/// Queued requests per thousand slots, with the request to be placed counted as queued.
 pub(super) fn wait_share(waiting: u32, slots: u32) -> u64 {
     (u64::from(waiting) + 1) * 1000 / u64::from(slots.max(1))
 }
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -70,7 +70,7 @@
     pub(super) hedge_at: Option<Timestamp>,
 }
 
-/// Where an attempt is sent.
+/// Identifies where an attempt is sent; [`Target`] also has the address and the epoch.
 #[derive(Clone, Debug)]
 pub(super) enum Destination {
     Minion { id: MinionId, process: ProcessId },
