--- a/src/placement/baseline.rs
+++ b/src/placement/baseline.rs
@@ -129,11 +129,11 @@
         };
         self.cell.job_mut(ix).closed = true;
         self.waiting.remove(&self.cell.job(ix).seq);
-        self.stop_others(ix, super::StopReason::Cancelled);
+        self.stop_all(ix, super::StopReason::Cancelled);
         self.remove_if_finished(ix);
     }
 
-    fn stop_others(&mut self, ix: JobIx, reason: super::StopReason) {
+    fn stop_all(&mut self, ix: JobIx, reason: super::StopReason) {
         for index in 0..self.cell.job(ix).tasks.len() as u32 {
             let task = &self.cell.job(ix).tasks[index as usize];
             let Some(run) = task.run().copied() else {
@@ -187,7 +187,7 @@
         let job = self.cell.job(ix);
         let restarts_whole = job.spec.on_member_loss != MemberLoss::Replace;
         if job.spec.class == WorkClass::Gang && restarts_whole {
-            self.stop_others(ix, super::StopReason::GangBroken);
+            self.stop_all(ix, super::StopReason::GangBroken);
         }
     }
 
@@ -310,7 +310,7 @@
 /// The room of a worker, if a task of the job fits into it.
 fn fits(cell: &Cell, job: &Job, ix: WorkerIx) -> Option<Resources> {
     let worker = cell.workers.get(ix as usize)?.as_ref()?;
-    let group = &cell.index.groups[worker.slot.group? as usize];
+    let group = &cell.index.groups[worker.position.group? as usize];
     let room = worker.room();
     let suits = search::group_suits(&job.spec, &job.spec.need, group);
     (worker.open() && suits && job.spec.need.fits_in(&room)).then_some(room)
--- a/src/placement/cell.rs
+++ b/src/placement/cell.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::classes::{ClassIndex, Slot};
+use super::classes::{ClassIndex, IndexPosition};
 use super::interface::{RestoredTask, TaskState};
 use super::records::{BANDS, Ending, Job, JobIx, Phase, Run, RunRef, Task, Worker, WorkerIx};
 use super::rules;
@@ -100,7 +100,7 @@
             recent_failures: Vec::new(),
             zone,
             rack,
-            slot: Slot::default(),
+            position: IndexPosition::default(),
             quick_slots: 0,
         };
         let ix = match self.unused_worker_ixs.pop() {
@@ -161,7 +161,7 @@
         }
         let id = worker.spec.id.clone();
         debug_assert_eq!(worker.quick_slots, 0, "a worker that is down has no slots");
-        if let Some(group) = worker.slot.group {
+        if let Some(group) = worker.position.group {
             self.index.groups[group as usize].worker_count -= 1;
         }
         self.worker_ix.remove(&id);
@@ -181,10 +181,10 @@
         };
         let before = std::mem::replace(&mut worker.quick_slots, slots);
         self.quick_slots = self.quick_slots + u64::from(slots) - u64::from(before);
-        let slot = self.index.update(ix, worker.slot, &worker.spec, room);
-        worker.slot = slot.slot;
-        if let Some((moved, pos)) = slot.moved {
-            self.worker_mut(moved).slot.pos = pos;
+        let update = self.index.update(ix, worker.position, &worker.spec, room);
+        worker.position = update.position;
+        if let Some((moved, pos)) = update.moved {
+            self.worker_mut(moved).position.pos = pos;
         }
     }
 
--- a/src/placement/classes.rs
+++ b/src/placement/classes.rs
@@ -47,7 +47,7 @@
 
 /// A worker's position in the index.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Slot {
+pub(crate) struct IndexPosition {
     pub(crate) class: Option<ClassIx>,
     pub(crate) pos: u32,
     pub(crate) group: Option<GroupIx>,
@@ -55,7 +55,7 @@
 
 /// A worker's new position, and the worker that moved to its old one.
 pub(crate) struct IndexUpdate {
-    pub(crate) slot: Slot,
+    pub(crate) position: IndexPosition,
     pub(crate) moved: Option<(WorkerIx, u32)>,
 }
 
@@ -77,28 +77,31 @@
     pub(crate) fn update(
         &mut self,
         ix: WorkerIx,
-        old: Slot,
+        old: IndexPosition,
         spec: &WorkerSpec,
         room: Option<Resources>,
     ) -> IndexUpdate {
         let group = self.group_of(old, spec);
         let class = room.map(|room| self.class_of(group, &room));
-        let mut slot = Slot {
+        let mut position = IndexPosition {
             class,
             pos: old.pos,
             group: Some(group),
         };
         if old.class == class {
-            return IndexUpdate { slot, moved: None };
+            return IndexUpdate {
+                position,
+                moved: None,
+            };
         }
         let moved = old.class.and_then(|c| self.leave(c, old.pos));
         if let Some(class) = class {
-            slot.pos = self.join(class, ix);
+            position.pos = self.join(class, ix);
         }
-        IndexUpdate { slot, moved }
+        IndexUpdate { position, moved }
     }
 
-    fn group_of(&mut self, old: Slot, spec: &WorkerSpec) -> GroupIx {
+    fn group_of(&mut self, old: IndexPosition, spec: &WorkerSpec) -> GroupIx {
         if let Some(ix) = old.group {
             let group = &self.groups[ix as usize];
             let same = group.capacity == spec.capacity
--- a/src/placement/explain.rs
+++ b/src/placement/explain.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 struct RoomCounts {
     suitable: u32,
-    closed: u32,
+    not_open: u32,
     cores: u32,
     memory: u32,
     accelerators: u32,
@@ -100,8 +100,8 @@
 
     fn other_reasons(&self, now: Timestamp, ix: JobIx, counts: &RoomCounts) -> String {
         let mut text = String::new();
-        if counts.closed > 0 {
-            text += &format!(", {} workers are drained or quarantined", counts.closed);
+        if counts.not_open > 0 {
+            text += &format!(", {} workers are drained or quarantined", counts.not_open);
         }
         if counts.held > 0 {
             text += &format!(", {} are held for other jobs", counts.held);
@@ -133,7 +133,7 @@
         let req = SearchRequest::new(&self.cell, ix, *need, Timestamp::MAX);
         for (_, worker) in self.cell.iter_workers() {
             let group = worker
-                .slot
+                .position
                 .group
                 .map(|g| &self.cell.index.groups[g as usize]);
             if !worker.up || !group.is_some_and(|g| req.suits(g)) {
@@ -141,7 +141,7 @@
             }
             counts.suitable += 1;
             if !worker.open() {
-                counts.closed += 1;
+                counts.not_open += 1;
                 continue;
             }
             if !req.may_use_held(worker) {
@@ -159,12 +159,12 @@
 
     /// Number of waiting jobs of higher bands, and of those before it in its own queue.
     fn jobs_ahead(&self, job: &Job) -> usize {
-        let later = self.queues.iter().filter(|(_, q)| q.band > job.spec.band);
-        let later: usize = later.map(|(_, q)| q.len()).sum();
+        let higher = self.queues.iter().filter(|(_, q)| q.band > job.spec.band);
+        let higher: usize = higher.map(|(_, q)| q.len()).sum();
         let own = job
             .queue
             .map_or(0, |q| self.queues.get(q).ahead_of(job.queue_time, job.seq));
-        later + own
+        higher + own
     }
 }
 
--- a/src/placement/failures.rs
+++ b/src/placement/failures.rs
@@ -208,7 +208,7 @@
     fn start_trial(&mut self, now: Timestamp, ix: WorkerIx, out: &mut Vec<Decision>) {
         let worker = self.cell.worker(ix);
         let room = worker.room();
-        let group = worker.slot.group.expect("indexed worker") as usize;
+        let group = worker.position.group.expect("indexed worker") as usize;
         let group = &self.cell.index.groups[group];
         let suitable = self.queues.iter().find_map(|(_, q)| {
             let head = q.head()?;
--- a/src/placement/preemption.rs
+++ b/src/placement/preemption.rs
@@ -154,7 +154,7 @@
                     .hold
                     .is_none_or(|h| !h.by_preemption && h.band < preemptor.band)
                 && could_fit_after_preemption(worker, preemptor)
-                && worker.slot.group.is_some_and(|g| {
+                && worker.position.group.is_some_and(|g| {
                     let group = &self.cell.index.groups[g as usize];
                     search::group_suits(spec, &preemptor.need, group)
                 })
--- a/src/placement/records.rs
+++ b/src/placement/records.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::classes::Slot;
+use super::classes::IndexPosition;
 use super::rules;
 use crate::ids::{Attempt, TaskIndex, Timestamp};
 use crate::resources::Resources;
@@ -74,7 +74,7 @@
     pub(crate) recent_failures: Vec<FailedTask>,
     pub(crate) zone: u32,
     pub(crate) rack: u32,
-    pub(crate) slot: Slot,
+    pub(crate) position: IndexPosition,
     /// Number of quick tasks that fit into its room.
     pub(crate) quick_slots: u32,
 }
--- a/src/placement/reservations.rs
+++ b/src/placement/reservations.rs
@@ -106,7 +106,7 @@
     pub(crate) fn update_holds(&mut self, now: Timestamp) {
         self.drop_idle_preemption_holds();
         self.drop_stale_reservation(now);
-        let Some((job, job_band)) = self.longest_waiting(now) else {
+        let Some((job, job_band)) = self.next_to_reserve(now) else {
             return;
         };
         let replaces = match self.reservation {
@@ -158,7 +158,7 @@
 
     /// The job at the head of a blocked queue that may get a reservation: of the highest band, and
     /// within it the first in queue order.
-    fn longest_waiting(&self, now: Timestamp) -> Option<(JobIx, Band)> {
+    fn next_to_reserve(&self, now: Timestamp) -> Option<(JobIx, Band)> {
         // A single task blocked only by the headroom for quick tasks starts once there is more
         // room; a reservation would use up that headroom. A gang may need so much room at once
         // that it would never start without one.
@@ -201,7 +201,7 @@
         let mut times = Vec::new();
         for (w, worker) in self.cell.iter_workers() {
             let group = worker
-                .slot
+                .position
                 .group
                 .map(|g| &self.cell.index.groups[g as usize]);
             let suits = group.is_some_and(|g| search::group_suits(&spec, &need, g));
--- a/src/placement/search.rs
+++ b/src/placement/search.rs
@@ -101,7 +101,7 @@
 }
 
 fn fits(cell: &Cell, req: &SearchRequest<'_>, worker: &Worker) -> bool {
-    let Some(group) = worker.slot.group else {
+    let Some(group) = worker.position.group else {
         return false;
     };
     req.need.fits_in(&worker.room()) && req.suits(&cell.index.groups[group as usize])
@@ -182,7 +182,7 @@
     for &ix in held {
         let worker = cell.worker(ix);
         if worker.open() && fits(cell, req, worker) && req.may_use_held(worker) {
-            let group = worker.slot.group.expect("indexed worker");
+            let group = worker.position.group.expect("indexed worker");
             consider(ix, &cell.index.groups[group as usize]);
         }
     }
--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -8,7 +8,7 @@
 use crate::ids::{EntryId, ServiceName, Timestamp};
 use crate::routing::choice::Choose;
 use crate::routing::model::{Effect, Origin, Request, RequestId, RouteError};
-use crate::routing::peers::wait_share;
+use crate::routing::peers::relative_queue;
 use crate::routing::router::{Destination, PendingRequest, RETRY_AFTER_MIN, Router};
 
 /// Mean service time assumed before the first successful response.
@@ -96,11 +96,11 @@
     ) -> Option<EntryId> {
         let pending = self.requests.get(&id)?;
         let tried = |peer: &EntryId| pending.tried.contains(peer);
-        let (peer, peer_wait) = self.peers.shortest(service, tried)?;
+        let (peer, peer_queue) = self.peers.shortest(service, tried)?;
         let slots = self.slots_here(now, service);
         let waiting = self.services.get(service).map_or(0, |s| s.queue.len());
-        let own_wait = wait_share(waiting as u32, slots);
-        (slots == 0 || peer_wait * 100 < own_wait * PEER_WAIT_PERCENT).then_some(peer)
+        let own_queue = relative_queue(waiting as u32, slots);
+        (slots == 0 || peer_queue * 100 < own_queue * PEER_WAIT_PERCENT).then_some(peer)
     }
 
     fn enqueue(&mut self, now: Timestamp, id: RequestId, out: &mut Vec<Effect>) {
@@ -119,7 +119,7 @@
             .services
             .get(&name)
             .map_or(0, |s| s.queue.ahead_of(priority));
-        let wait = self.expected_wait(now, &name, ahead);
+        let wait = self.expected_response_time(now, &name, ahead);
         if wait > left {
             let reason = format_compact!("{ahead} requests wait; the deadline would pass");
             return self.fail_not_run(now, id, reason, wait.saturating_sub(left), out);
@@ -139,7 +139,12 @@
 
     /// Expected time until a request with `ahead` others before it in the queue is answered:
     /// its wait in the queue and its service time.
-    fn expected_wait(&self, now: Timestamp, service: &ServiceName, ahead: usize) -> Duration {
+    fn expected_response_time(
+        &self,
+        now: Timestamp,
+        service: &ServiceName,
+        ahead: usize,
+    ) -> Duration {
         let mean = self.services.get(service).and_then(|s| s.latency.mean());
         let mean = mean.unwrap_or(DEFAULT_SERVICE_TIME);
         let slots = self.slots_here(now, service).max(1);
--- a/src/routing/peers.rs
+++ b/src/routing/peers.rs
@@ -38,7 +38,7 @@
     }
 
     /// Forgets the peer's load; it gets no requests until its next report.
-    pub(super) fn lost(&mut self, id: &EntryId) {
+    pub(super) fn forget_load(&mut self, id: &EntryId) {
         if let Some(peer) = self.peers.get_mut(id) {
             peer.loads = None;
         }
@@ -68,7 +68,7 @@
         self.loads(service).any(|(_, load)| load.free > 0)
     }
 
-    /// The peer with the shortest queue relative to its slots, with its [`wait_share`].
+    /// The peer with the shortest queue relative to its slots, with its [`relative_queue`].
     pub(super) fn shortest(
         &self,
         service: &ServiceName,
@@ -78,8 +78,8 @@
             .loads(service)
             .filter(|(id, load)| load.slots > 0 && !avoid(id));
         usable
-            .map(|(id, load)| (id.clone(), wait_share(load.waiting, load.slots)))
-            .min_by_key(|(_, share)| *share)
+            .map(|(id, load)| (id.clone(), relative_queue(load.waiting, load.slots)))
+            .min_by_key(|(_, queue)| *queue)
     }
 
     /// Total slots and queued requests of all peers.
@@ -96,7 +96,7 @@
     }
 
     /// Adjusts the peer's load for a request sent to it, until its next report.
-    pub(super) fn sent(&mut self, id: &EntryId, service: &ServiceName) {
+    pub(super) fn count_sent(&mut self, id: &EntryId, service: &ServiceName) {
         if let Some(load) = self.load_mut(id, service) {
             if load.free > 0 {
                 load.free -= 1;
@@ -107,7 +107,7 @@
     }
 
     /// Sets the peer's free slots to 0 until its next report, because it refused a request.
-    pub(super) fn full(&mut self, id: &EntryId, service: &ServiceName) {
+    pub(super) fn mark_full(&mut self, id: &EntryId, service: &ServiceName) {
         if let Some(load) = self.load_mut(id, service) {
             load.free = 0;
         }
@@ -127,6 +127,6 @@
 }
 
 /// Queued requests per thousand slots, with the request to be placed counted as queued.
-pub(super) fn wait_share(waiting: u32, slots: u32) -> u64 {
+pub(super) fn relative_queue(waiting: u32, slots: u32) -> u64 {
     (u64::from(waiting) + 1) * 1000 / u64::from(slots.max(1))
 }
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -163,7 +163,7 @@
                     .iter()
                     .for_each(|name| self.dispatch_queued(now, name, out));
             }
-            Event::PeerLost(peer) => self.peers.lost(&peer),
+            Event::PeerLost(peer) => self.peers.forget_load(&peer),
             Event::Probed {
                 minion,
                 epoch,
@@ -322,7 +322,7 @@
                 until = until
                     .min(pending.request.deadline.saturating_sub(FORWARD_MARGIN))
                     .max(now);
-                self.peers.sent(peer, &service);
+                self.peers.count_sent(peer, &service);
                 Target::Peer(peer.clone())
             }
         };
--- a/src/routing/verdicts.rs
+++ b/src/routing/verdicts.rs
@@ -51,7 +51,7 @@
             }
             Destination::Peer(peer) => {
                 if let AttemptEnd::NotRun { .. } = end {
-                    self.peers.full(peer, &ended.service);
+                    self.peers.mark_full(peer, &ended.service);
                 }
             }
         }
