--- a/src/placement/reservations.rs
+++ b/src/placement/reservations.rs
@@ -1,5 +1,6 @@
-//! Holds: workers whose room is kept for one job, either by a reservation for a gang or a large
-//! task that has waited long, or while runs are being preempted for a task.
+//! Holds and reservations. A hold keeps the room of one worker for one job. A reservation is the
+//! set of holds for a gang or a large task that has waited long; other holds keep room while runs
+//! are being preempted for a task.
 //!
 //! At most one job has a reservation. Two gangs that each hold half of what the other needs
 //! would wait forever; with one reservation the first one starts, then the other.
@@ -23,7 +24,8 @@
 /// A run past its expected end is expected to go on for its run time so far divided by this.
 const LATE_RUN_DIVISOR: u32 = 4;
 
-/// The reservation of the job that has waited longest.
+/// The reservation of a job: the first by band and queue time when the reservation was made. A
+/// later choice replaces it only if it is of a higher band.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Reservation {
     pub(crate) job: JobIx,
@@ -99,11 +101,12 @@
         }
     }
 
-    /// Releases obsolete holds and reserves workers for the job that has waited longest.
+    /// Releases obsolete holds and reserves workers for the next job that may get a
+    /// reservation.
     pub(crate) fn update_holds(&mut self, now: Timestamp) {
         self.drop_idle_preemption_holds();
         self.drop_stale_reservation(now);
-        let Some((job, job_band)) = self.longest_waiting(now) else {
+        let Some((job, job_band)) = self.next_to_reserve(now) else {
             return;
         };
         let replaces = match self.reservation {
@@ -155,7 +158,7 @@
 
     /// The job at the head of a blocked queue that may get a reservation: of the highest band, and
     /// within it the first in queue order.
-    fn longest_waiting(&self, now: Timestamp) -> Option<(JobIx, Band)> {
+    fn next_to_reserve(&self, now: Timestamp) -> Option<(JobIx, Band)> {
         // A single task blocked only by the headroom for quick tasks starts once there is more
         // room; a reservation would use up that headroom. A gang may need so much room at once
         // that it would never start without one.
@@ -198,7 +201,7 @@
         let mut times = Vec::new();
         for (w, worker) in self.cell.iter_workers() {
             let group = worker
-                .slot
+                .position
                 .group
                 .map(|g| &self.cell.index.groups[g as usize]);
             let suits = group.is_some_and(|g| search::group_suits(&spec, &need, g));
