--- a/src/replay/command.rs
+++ b/src/replay/command.rs
@@ -13,9 +13,9 @@
 use crate::placement::{FirstFit, RandomOfK, Scheduler};
 
 /// Workers that the random baseline draws for one task.
-const DRAWN: usize = 2;
+const RANDOM_CANDIDATES: usize = 2;
 /// Times it draws again.
-const REDRAWN: usize = 8;
+const RANDOM_RETRIES: usize = 8;
 
 /// What to replay.
 #[derive(Clone, Debug, Default)]
@@ -40,7 +40,7 @@
 /// met by the scheduler. Baselines are shown beside it and fail nothing.
 pub fn command(args: &ReplayArgs, mut output: impl Write) -> Result<ExitCode> {
     let mut rows = Vec::new();
-    for name in names(&args.generate) {
+    for name in expand_names(&args.generate) {
         let trace = scenarios::generate(name, args.seed)?;
         match &args.write {
             Some(folder) => write_trace(folder, name, &trace)?,
@@ -60,7 +60,7 @@
     }
     if let Some(path) = &args.html {
         let page = report::to_html(&rows)?;
-        std::fs::write(path, page).map_err(|e| at(path, "writing the report", e))?;
+        std::fs::write(path, page).map_err(|e| file_error(path, "writing the report", e))?;
     }
     let missed = rows
         .iter()
@@ -74,8 +74,8 @@
 
 const SCHEDULER: &str = "scheduler";
 
-fn names(wanted: &[String]) -> impl Iterator<Item = &str> {
-    wanted.iter().flat_map(|name| {
+fn expand_names(requested: &[String]) -> impl Iterator<Item = &str> {
+    requested.iter().flat_map(|name| {
         let all = scenarios::NAMES.iter().map(|(known, _)| *known);
         let one = (name != "all").then_some(name.as_str());
         one.into_iter().chain(all.filter(move |_| name == "all"))
@@ -107,24 +107,24 @@
     );
     if args.baselines {
         add("first-fit", engine::run(&trace, FirstFit::new)?);
-        let random = || RandomOfK::new(args.seed, DRAWN, REDRAWN);
+        let random = || RandomOfK::new(args.seed, RANDOM_CANDIDATES, RANDOM_RETRIES);
         add("random-of-2", engine::run(&trace, random)?);
     }
     Ok(())
 }
 
-fn at(path: &Path, what: &str, e: impl std::error::Error + Send + Sync + 'static) -> Error {
+fn file_error(path: &Path, what: &str, e: impl std::error::Error + Send + Sync + 'static) -> Error {
     Error::caused(Step::Replay, what, e).with_peer(path.display())
 }
 
 fn read_trace(path: &Path) -> Result<Trace> {
-    let file = File::open(path).map_err(|e| at(path, "opening the trace", e))?;
+    let file = File::open(path).map_err(|e| file_error(path, "opening the trace", e))?;
     trace::read(&path.display().to_string(), BufReader::new(file))
 }
 
 fn write_trace(folder: &Path, name: &str, trace: &Trace) -> Result<()> {
     let path = folder.join(format!("{name}.jsonl"));
-    let file = File::create(&path).map_err(|e| at(&path, "creating the trace", e))?;
+    let file = File::create(&path).map_err(|e| file_error(&path, "creating the trace", e))?;
     trace::write(trace, BufWriter::new(file))
 }
 
@@ -133,7 +133,7 @@
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-        Err(e) => return Err(at(&path, "reading the outcome", e)),
+        Err(e) => return Err(file_error(&path, "reading the outcome", e)),
     };
     let name = path.display().to_string();
     let outcome = Outcome::read(&name, &text);
--- a/src/replay/engine/decisions.rs
+++ b/src/replay/engine/decisions.rs
@@ -1,10 +1,10 @@
-//! Carrying out what the placer decides.
+//! Requests decisions from the placer and executes them on the simulated workers.
 
 use std::time::Instant;
 
-use super::{Engine, Happening, LIMIT, SAVE_TIME, START_DELAY, STOP_TIME};
+use super::{Engine, MAX_STARTS_PER_CALL, SAVE_TIME, START_DELAY, STOP_TIME, SimEvent};
 use crate::placement::{Decision, Event, Placer, StopReason};
-use crate::replay::ledger::{At, Final, RunKey};
+use crate::replay::ledger::{RunKey, TaskOutcome, TaskStatus};
 use crate::resources::Resources;
 use crate::wire::StopKind;
 
@@ -12,41 +12,42 @@
     pub(super) fn decide(&mut self) {
         let mut out = std::mem::take(&mut self.out);
         let began = Instant::now();
-        self.placer.decide(self.ledger.now, LIMIT, &mut out);
+        self.placer
+            .decide(self.cluster.now, MAX_STARTS_PER_CALL, &mut out);
         let took = began.elapsed();
         let starts = out.iter().filter(|d| matches!(d, Decision::Start { .. }));
-        self.measures.decided(took, starts.count() as u64);
+        self.measures.record_decide(took, starts.count() as u64);
         for decision in out.drain(..) {
-            self.carry_out(decision);
+            self.execute(decision);
         }
         let refused = std::mem::take(&mut self.refused);
-        for job in std::mem::take(&mut self.touched) {
+        for job in std::mem::take(&mut self.changed_jobs) {
             if !refused.contains(&job) {
-                self.ledger.check_gang(job);
+                self.cluster.check_gang(job);
             }
         }
-        self.touched = refused;
+        self.changed_jobs = refused;
         self.out = out;
     }
 
-    pub(super) fn carry_out(&mut self, decision: Decision) {
+    pub(super) fn execute(&mut self, decision: Decision) {
         match decision {
             Decision::Start {
                 run,
                 worker,
                 granted,
             } => {
-                let key = self.ledger.key(&run);
-                let worker_ix = self.ledger.worker_ix.get(&worker).copied();
+                let key = self.cluster.key(&run);
+                let worker_ix = self.cluster.worker_ix.get(&worker).copied();
                 let (Some(key), Some(ix)) = (key, worker_ix) else {
-                    self.ledger
+                    self.cluster
                         .violation(format!("an unknown task was started on {worker}"));
                     return;
                 };
-                if self.refuse > 0 {
-                    self.refuse -= 1;
+                if self.refusals_left > 0 {
+                    self.refusals_left -= 1;
                     self.refused.insert(key.job);
-                    self.feed(Event::StartRefused { run, worker });
+                    self.apply_event(Event::StartRefused { run, worker });
                     return;
                 }
                 self.start(key, ix, granted);
@@ -54,23 +55,23 @@
             Decision::Stop {
                 run, how, reason, ..
             } => {
-                let Some(key) = self.ledger.key(&run) else {
+                let Some(key) = self.cluster.key(&run) else {
                     return;
                 };
                 if matches!(reason, StopReason::Preempted | StopReason::Reclaimed) {
                     self.measures.preempted += 1;
-                    self.ledger.task_mut(key).preemptions += 1;
+                    self.cluster.task_mut(key).preemptions += 1;
                 }
                 self.stop(key, how);
             }
             Decision::Unschedulable { job, .. } => {
-                if let Some(&ix) = self.ledger.job_ix.get(&job) {
-                    self.ledger.set_never(ix, true);
+                if let Some(&ix) = self.cluster.job_ix.get(&job) {
+                    self.cluster.set_unschedulable(ix, true);
                 }
             }
             Decision::FailJob { job, .. } => {
-                if let Some(&ix) = self.ledger.job_ix.get(&job) {
-                    self.ledger.close(ix, Final::Dropped);
+                if let Some(&ix) = self.cluster.job_ix.get(&job) {
+                    self.cluster.close_job(ix, TaskOutcome::Dropped);
                     self.measures.given_up.insert(job);
                 }
             }
@@ -84,30 +85,31 @@
     }
 
     pub(super) fn start(&mut self, key: RunKey, worker: usize, granted: Resources) {
-        if !self.ledger.start(key, worker, granted) {
+        if !self.cluster.start(key, worker, granted) {
             return;
         }
-        self.ledger.check_worker(worker);
-        let job = &self.ledger.jobs[key.job];
-        self.touched.insert(key.job);
-        let waited = self.ledger.now.saturating_sub(job.arrived);
+        self.cluster.check_worker(worker);
+        let job = &self.cluster.jobs[key.job];
+        self.changed_jobs.insert(key.job);
+        let waited = self.cluster.now.saturating_sub(job.arrived);
         let (band, kind) = (job.spec.band, job.spec.kind.clone());
-        let task = self.ledger.task_mut(key);
+        let task = self.cluster.task_mut(key);
         if !std::mem::replace(&mut task.started, true) {
-            self.measures.started(self.ledger.now, band, &kind, waited);
+            self.measures
+                .record_start(self.cluster.now, band, &kind, waited);
         }
-        self.after(START_DELAY, Happening::Begin(key));
+        self.schedule_in(START_DELAY, SimEvent::StartDelivered(key));
     }
 
     pub(super) fn stop(&mut self, key: RunKey, how: StopKind) {
-        if how == StopKind::Throttle || self.ledger.worker_of(key).is_none() {
+        if how == StopKind::Throttle || self.cluster.worker_of(key).is_none() {
             return;
         }
-        if let At::Running { ending, .. } = &mut self.ledger.task_mut(key).at {
+        if let TaskStatus::Running { ending, .. } = &mut self.cluster.task_mut(key).status {
             *ending = true;
         }
-        let saved = how == StopKind::Checkpoint && self.ledger.jobs[key.job].spec.checkpoint;
+        let saved = how == StopKind::Checkpoint && self.cluster.jobs[key.job].spec.checkpoint;
         let takes = if saved { SAVE_TIME } else { STOP_TIME };
-        self.after(takes, Happening::Stopped { key, saved });
+        self.schedule_in(takes, SimEvent::StopFinished { key, saved });
     }
 }
--- a/src/replay/engine/failover.rs
+++ b/src/replay/engine/failover.rs
@@ -1,69 +1,70 @@
-//! A new placer built from what was agreed, as by a new leader.
+//! Rebuilds the placer after a change of leader.
 
 use std::sync::Arc;
 
 use super::Engine;
 use crate::placement::{Event, Placer, RestoredTask, TaskState};
-use crate::replay::ledger::At;
+use crate::replay::ledger::TaskStatus;
 use crate::workload::TaskId;
 
 impl<P: Placer, F: Fn() -> P> Engine<'_, P, F> {
-    /// A new leader builds its placer from what is recorded, as the daemon does.
+    /// Replaces the placer by a new one, restored from the recorded workers and jobs in the same
+    /// way as a new leader of the daemon does.
     pub(super) fn failover(&mut self) {
         self.placer = (self.make)();
-        self.feed(Event::Policy(self.trace.header.policy()));
-        self.feed(Event::Teams(self.trace.header.declared_teams()));
-        for i in 0..self.ledger.workers.len() {
-            if self.ledger.workers[i].known {
-                self.announce(i);
+        self.apply_event(Event::Policy(self.trace.header.policy()));
+        self.apply_event(Event::Teams(self.trace.header.declared_teams()));
+        for i in 0..self.cluster.workers.len() {
+            if self.cluster.workers[i].registered {
+                self.register_worker(i);
             }
         }
-        for job in 0..self.ledger.jobs.len() {
+        for job in 0..self.cluster.jobs.len() {
             self.restore(job);
         }
     }
 
     pub(super) fn restore(&mut self, job: usize) {
-        let truth = &self.ledger.jobs[job];
-        // A closed job still holds room until its last run has ended.
-        if truth.tasks.iter().all(|t| matches!(t.at, At::Over(_))) {
-            return;
-        }
-        let closed = truth.closed.then(|| truth.spec.name.clone());
-        let tasks = truth
+        let sim = &self.cluster.jobs[job];
+        // The runs of a closed job hold resources until the last one has ended.
+        if sim
             .tasks
             .iter()
-            .enumerate()
-            .map(|(i, task)| RestoredTask {
-                task: TaskId {
-                    job: truth.spec.name.clone(),
-                    index: i as u32,
-                },
-                attempt: task.attempt,
-                preemptions: task.preemptions,
-                state: match task.at {
-                    At::Waiting => TaskState::Waiting,
-                    At::Over(_) => TaskState::Ended,
-                    At::Running {
-                        worker,
-                        granted,
-                        since,
-                        ..
-                    } => TaskState::Running {
-                        worker: self.ledger.workers[worker].spec.id.clone(),
-                        granted,
-                        since,
-                    },
+            .all(|t| matches!(t.status, TaskStatus::Ended(_)))
+        {
+            return;
+        }
+        let closed = sim.closed.then(|| sim.spec.name.clone());
+        let tasks = sim.tasks.iter().enumerate().map(|(i, task)| RestoredTask {
+            task: TaskId {
+                job: sim.spec.name.clone(),
+                index: i as u32,
+            },
+            attempt: task.attempt,
+            preemptions: task.preemptions,
+            state: match task.status {
+                TaskStatus::Waiting => TaskState::Waiting,
+                TaskStatus::Ended(_) => TaskState::Ended,
+                TaskStatus::Running {
+                    worker,
+                    granted,
+                    since,
+                    ..
+                } => TaskState::Running {
+                    worker: self.cluster.workers[worker].spec.id.clone(),
+                    granted,
+                    since,
                 },
-            });
+            },
+        });
         let event = Event::JobRestored {
-            spec: Arc::clone(&truth.spec),
-            at: truth.arrived,
+            spec: Arc::clone(&sim.spec),
+            at: sim.arrived,
             tasks: tasks.collect(),
         };
-        self.feed(event);
+        self.apply_event(event);
         if let Some(job) = closed {
-            self.feed(Event::JobCancelled(job));
+            self.apply_event(Event::JobCancelled(job));
         }
     }
 }
--- a/src/replay/engine/losses.rs
+++ b/src/replay/engine/losses.rs
@@ -1,95 +1,96 @@
-//! Workers that are lost, cut off, or come back.
+//! Workers that crash, become unreachable or reconnect.
 
-use super::{DRIFT_PERCENT, Engine, Happening};
+use super::{CONTROL_LEASE_PERCENT, Engine, SimEvent};
 use crate::ids::WorkerId;
 use crate::placement::{Event, Placer};
-use crate::replay::ledger::{At, Final, RunKey};
+use crate::replay::ledger::{RunKey, TaskOutcome, TaskStatus};
 
 impl<P: Placer, F: Fn() -> P> Engine<'_, P, F> {
-    /// The worker dies: nothing executes there from now on, but control learns it only when
-    /// the lease lapses.
-    pub(super) fn lose(&mut self, worker: usize) {
-        self.cut(worker);
-        self.ledger.workers[worker].executing.clear();
+    /// Crashes the worker: its runs stop executing at once, but control detects this only when
+    /// the lease expires.
+    pub(super) fn kill_worker(&mut self, worker: usize) {
+        self.disconnect(worker);
+        self.cluster.workers[worker].executing.clear();
     }
 
-    pub(super) fn cut(&mut self, worker: usize) {
-        let w = &mut self.ledger.workers[worker];
+    pub(super) fn disconnect(&mut self, worker: usize) {
+        let w = &mut self.cluster.workers[worker];
         if !w.reachable {
             return;
         }
         w.reachable = false;
         w.epoch += 1;
         let epoch = w.epoch;
-        self.after(self.lease, Happening::OwnLapse { worker, epoch });
-        let lapse = Happening::Lapse { worker, epoch };
-        self.after(self.lease * DRIFT_PERCENT / 100, lapse);
+        self.schedule_in(self.lease, SimEvent::WorkerLeaseExpired { worker, epoch });
+        let expired = SimEvent::ControlLeaseExpired { worker, epoch };
+        self.schedule_in(self.lease * CONTROL_LEASE_PERCENT / 100, expired);
     }
 
-    pub(super) fn lapse(&mut self, worker: usize, epoch: u32) {
-        let w = &mut self.ledger.workers[worker];
-        if w.epoch != epoch || !w.known {
+    pub(super) fn expire_lease(&mut self, worker: usize, epoch: u32) {
+        let w = &mut self.cluster.workers[worker];
+        if w.epoch != epoch || !w.registered {
             return;
         }
-        w.known = false;
+        w.registered = false;
         let id = w.spec.id.clone();
-        self.feed(Event::WorkerDown(id));
-        self.lose_runs(worker);
+        self.apply_event(Event::WorkerDown(id));
+        self.end_lost_runs(worker);
     }
 
-    pub(super) fn lose_runs(&mut self, worker: usize) {
-        let w = &mut self.ledger.workers[worker];
+    pub(super) fn end_lost_runs(&mut self, worker: usize) {
+        let w = &mut self.cluster.workers[worker];
         let id = w.spec.id.clone();
         let runs: Vec<RunKey> = w.runs.iter().copied().collect();
         w.executing.clear();
         for key in runs {
-            self.lost(key, &id);
+            self.lose_run(key, &id);
         }
     }
 
-    /// Control cannot tell whether a run on a lost worker ever began, so a task that is not
+    /// Ends a run on a lost worker. Whether the run ever began is unknown, so a task that is not
     /// idempotent is never started again.
-    pub(super) fn lost(&mut self, key: RunKey, worker: &WorkerId) {
-        let job = &self.ledger.jobs[key.job];
+    pub(super) fn lose_run(&mut self, key: RunKey, worker: &WorkerId) {
+        let job = &self.cluster.jobs[key.job];
         let restart = job.spec.idempotent;
         let next = if job.closed {
-            At::Over(Final::Cancelled)
+            TaskStatus::Ended(TaskOutcome::Cancelled)
         } else if restart && key.index < job.spec.tasks {
-            At::Waiting
+            TaskStatus::Waiting
         } else {
-            At::Over(Final::Unknown)
+            TaskStatus::Ended(TaskOutcome::Unknown)
         };
-        let run = self.ledger.run(key);
-        self.ledger.settle(key, next);
-        self.touched.insert(key.job);
-        self.feed(Event::RunLost {
+        let run = self.cluster.run(key);
+        self.cluster.end_run(key, next);
+        self.changed_jobs.insert(key.job);
+        self.apply_event(Event::RunLost {
             run,
             worker: worker.clone(),
             restart,
         });
     }
 
-    /// A worker that was cut off is back: within its lease it goes on, after it it is empty.
-    pub(super) fn back(&mut self, worker: usize) {
-        let w = &mut self.ledger.workers[worker];
+    /// Makes the worker reachable again. If control has not expired its lease the worker keeps its
+    /// runs, otherwise it registers without runs.
+    pub(super) fn reconnect(&mut self, worker: usize) {
+        let w = &mut self.cluster.workers[worker];
         w.reachable = true;
         w.epoch += 1;
-        if w.known {
+        if w.registered {
             return;
         }
-        w.known = true;
+        w.registered = true;
         w.executing.clear();
-        self.announce(worker);
+        self.register_worker(worker);
     }
 
-    /// Tells the placer of a worker, and of its drain if it has one.
-    pub(super) fn announce(&mut self, ix: usize) {
-        let w = &self.ledger.workers[ix];
+    /// Adds the worker to the placer, with its drain if it has one.
+    pub(super) fn register_worker(&mut self, ix: usize) {
+        let w = &self.cluster.workers[ix];
         let (spec, drain) = (w.spec.clone(), w.drain);
         let worker = spec.id.clone();
-        self.feed(Event::WorkerUp(spec));
+        self.apply_event(Event::WorkerUp(spec));
         if let Some(deadline) = drain {
-            self.feed(Event::DrainStarted { worker, deadline });
+            self.apply_event(Event::DrainStarted { worker, deadline });
         }
     }
 }
--- a/src/replay/ledger.rs
+++ b/src/replay/ledger.rs
@@ -1,4 +1,5 @@
-//! What truly happens in a replay, kept apart from the placer and checked after every event.
+//! Actual state of the simulated cluster, kept independently of the placer. Each decision and each
+//! change is checked against it.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -9,10 +10,10 @@
 use crate::resources::Resources;
 use crate::workload::{JobSpec, MemberLoss, RunEnd, TaskId, TaskRun, WorkClass, WorkerSpec};
 
-/// Violations kept; later ones are only counted.
-const KEPT: usize = 20;
+/// Maximum number of violations stored with their text; later ones are only counted.
+const MAX_KEPT_VIOLATIONS: usize = 20;
 
-/// One run in a replay.
+/// A run, by the index of its job in `SimCluster::jobs`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RunKey {
     pub(crate) job: usize,
@@ -20,117 +21,124 @@
     pub(crate) attempt: Attempt,
 }
 
-/// What became of a task for good.
+/// Final outcome of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Final {
+pub(crate) enum TaskOutcome {
     Done,
     Failed,
     Cancelled,
-    /// It may have run and will not be started again.
+    /// The task may have run and is not idempotent, so it is never started again.
     Unknown,
-    /// The job was given up or resized.
+    /// The job was given up, or was resized to delta tasks.
     Dropped,
 }
 
-/// Where a task is, as control has it.
+/// Status of a task as recorded by control.
 #[derive(Clone, Debug)]
-pub(crate) enum At {
+pub(crate) enum TaskStatus {
     Waiting,
     Running {
         worker: usize,
         granted: Resources,
         since: Timestamp,
+        /// A stop order was sent.
         ending: bool,
     },
-    Over(Final),
+    Ended(TaskOutcome),
 }
 
-/// A task.
 #[derive(Clone, Debug)]
-pub(crate) struct TaskTruth {
-    pub(crate) at: At,
+pub(crate) struct SimTask {
+    pub(crate) status: TaskStatus,
     pub(crate) attempt: Attempt,
     pub(crate) preemptions: u32,
-    /// Work left, in time with everything it uses.
+    /// Remaining run time when the task is granted all it uses.
     pub(crate) left: Duration,
-    /// It ran, and did not save its state since.
+    /// The task ran, and has not been checkpointed since.
     pub(crate) ran: bool,
+    /// The task was started at least once.
     pub(crate) started: bool,
 }
 
-/// A job.
 #[derive(Debug)]
-pub(crate) struct JobTruth {
+pub(crate) struct SimJob {
     pub(crate) spec: Arc<JobSpec>,
     pub(crate) arrived: Timestamp,
     pub(crate) line: JobLine,
-    pub(crate) tasks: Vec<TaskTruth>,
+    pub(crate) tasks: Vec<SimTask>,
+    /// The job was cancelled or given up.
     pub(crate) closed: bool,
+    /// Number of waiting tasks.
     pub(crate) waiting: u32,
-    pub(crate) never: bool,
+    /// The placer reported that the job can never run.
+    pub(crate) unschedulable: bool,
+    /// Index in `SimCluster::teams`.
     pub(crate) team: usize,
 }
 
-/// A worker.
 #[derive(Debug)]
-pub(crate) struct WorkerTruth {
+pub(crate) struct SimWorker {
     pub(crate) spec: WorkerSpec,
-    /// Control counts on it.
-    pub(crate) known: bool,
-    /// It is there and reachable.
+    /// Control treats the worker as a member of the cluster: its lease has not expired.
+    pub(crate) registered: bool,
+    /// The worker has not crashed and is not partitioned from control.
     pub(crate) reachable: bool,
-    /// Changes with each loss, so that what was planned before is not done after.
+    /// Incremented at each loss and return, so that lease expiries scheduled before are ignored.
     pub(crate) epoch: u32,
-    pub(crate) broken: bool,
+    pub(crate) fails_runs: bool,
+    /// Reported usage in percent of the actual usage.
     pub(crate) report_percent: u32,
+    /// Deadline of the drain, if there is one.
     pub(crate) drain: Option<Timestamp>,
     pub(crate) granted: Resources,
-    /// Runs control has granted here.
+    /// Runs that hold resources here in the records of control.
     pub(crate) runs: BTreeSet<RunKey>,
-    /// Runs that truly execute here.
+    /// Runs that actually execute here.
     pub(crate) executing: BTreeSet<RunKey>,
 }
 
-/// Something that must never happen, and did.
+/// A violated invariant of placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Line of the trace that was last taken in, from 1; the header is line 1.
+    /// Line of the trace that was applied last; the header is line 1.
     pub line: usize,
-    /// Virtual time.
+    /// Time since the start of the trace.
     pub at: Timestamp,
-    /// What happened, in one sentence.
+    /// The violation in one sentence, as reports print it.
     pub what: String,
 }
 
-/// The truth.
+/// Actual state of the simulated cluster.
 #[derive(Debug, Default)]
-pub(crate) struct Ledger {
-    pub(crate) jobs: Vec<JobTruth>,
-    pub(crate) workers: Vec<WorkerTruth>,
+pub(crate) struct SimCluster {
+    pub(crate) jobs: Vec<SimJob>,
+    pub(crate) workers: Vec<SimWorker>,
     pub(crate) job_ix: HashMap<JobName, usize>,
     pub(crate) worker_ix: HashMap<WorkerId, usize>,
     pub(crate) violations: Vec<Violation>,
     pub(crate) violation_count: u64,
     pub(crate) line: usize,
     pub(crate) now: Timestamp,
+    /// Resources granted to all runs.
     pub(crate) used: Resources,
+    /// Declared millicores, megabytes and accelerators of all schedulable waiting tasks.
     pub(crate) waiting: [u64; 3],
-    pub(crate) teams: Vec<TeamTruth>,
+    pub(crate) teams: Vec<SimTeam>,
     team_ix: HashMap<TeamName, usize>,
 }
 
-/// What a team uses and how many of its tasks wait.
+/// Granted resources and number of waiting tasks of a team.
 #[derive(Debug, Default)]
-pub(crate) struct TeamTruth {
+pub(crate) struct SimTeam {
     pub(crate) name: TeamName,
     pub(crate) used: Resources,
     pub(crate) waiting: u64,
 }
 
-impl Ledger {
+impl SimCluster {
     pub(crate) fn violation(&mut self, what: String) {
         self.violation_count += 1;
-        if self.violations.len() < KEPT {
+        if self.violations.len() < MAX_KEPT_VIOLATIONS {
             self.violations.push(Violation {
                 line: self.line,
                 at: self.now,
@@ -139,7 +147,7 @@
         }
     }
 
-    /// Notes the line that is taken in; the header is line 1.
+    /// Sets the current line, which violations are attributed to, from its index after the header.
     pub(crate) fn begin_line(&mut self, i: usize, line: &Line) {
         self.line = i + 2;
         self.now = self.now.max(line.at());
@@ -148,8 +156,8 @@
     pub(crate) fn add_job(&mut self, spec: Arc<JobSpec>, line: JobLine) {
         let run = line.true_run_ms.map(Duration::from_millis);
         let left = run.unwrap_or(spec.run_time);
-        let task = TaskTruth {
-            at: At::Waiting,
+        let task = SimTask {
+            status: TaskStatus::Waiting,
             attempt: 0,
             preemptions: 0,
             left,
@@ -160,13 +168,13 @@
         let next = self.teams.len();
         let team = *self.team_ix.entry(spec.team.clone()).or_insert(next);
         if team == next {
-            self.teams.push(TeamTruth {
+            self.teams.push(SimTeam {
                 name: spec.team.clone(),
-                ..TeamTruth::default()
+                ..SimTeam::default()
             });
         }
         self.count_waiting(team, &spec.need, i64::from(spec.tasks));
-        self.jobs.push(JobTruth {
+        self.jobs.push(SimJob {
             team,
             arrived: self.now,
             tasks: vec![task; spec.tasks as usize],
@@ -174,7 +182,7 @@
             spec,
             line,
             closed: false,
-            never: false,
+            unschedulable: false,
         });
     }
 
@@ -191,18 +199,18 @@
         if let Some(&ix) = self.worker_ix.get(&spec.id) {
             let worker = &mut self.workers[ix];
             worker.spec = spec;
-            worker.known = true;
+            worker.registered = true;
             worker.reachable = true;
             worker.epoch += 1;
             return ix;
         }
         self.worker_ix.insert(spec.id.clone(), self.workers.len());
-        self.workers.push(WorkerTruth {
+        self.workers.push(SimWorker {
             spec,
-            known: true,
+            registered: true,
             reachable: true,
             epoch: 0,
-            broken: false,
+            fails_runs: false,
             report_percent: 100,
             drain: None,
             granted: Resources::ZERO,
@@ -232,30 +240,31 @@
         }
     }
 
-    pub(crate) fn task(&self, key: RunKey) -> &TaskTruth {
+    pub(crate) fn task(&self, key: RunKey) -> &SimTask {
         &self.jobs[key.job].tasks[key.index as usize]
     }
 
-    pub(crate) fn task_mut(&mut self, key: RunKey) -> &mut TaskTruth {
+    pub(crate) fn task_mut(&mut self, key: RunKey) -> &mut SimTask {
         &mut self.jobs[key.job].tasks[key.index as usize]
     }
 
-    /// The worker of a run that control counts as running.
+    /// The worker of a run, or `None` unless control records this attempt as running.
     pub(crate) fn worker_of(&self, key: RunKey) -> Option<usize> {
         let task = self.task(key);
-        match task.at {
-            At::Running { worker, .. } if task.attempt == key.attempt => Some(worker),
+        match task.status {
+            TaskStatus::Running { worker, .. } if task.attempt == key.attempt => Some(worker),
             _ => None,
         }
     }
 
-    /// Checks a decided start against everything that must hold, and records it.
+    /// Checks a start decision against all invariants. Records the start and returns true if it
+    /// violates none.
     pub(crate) fn start(&mut self, key: RunKey, worker: usize, granted: Resources) -> bool {
         let job = &self.jobs[key.job];
         let name = format!("task {} of {}", key.index, job.spec.name);
         let task = &job.tasks[key.index as usize];
         let mut wrong = Vec::new();
-        if !matches!(task.at, At::Waiting) {
+        if !matches!(task.status, TaskStatus::Waiting) {
             wrong.push(format!("{name} was started while it was not waiting"));
         }
         if job.closed {
@@ -271,7 +280,7 @@
             attempt: Attempt::MAX,
             ..key
         };
-        let alive = |w: &WorkerTruth| w.executing.range(elsewhere.clone()).next().is_some();
+        let alive = |w: &SimWorker| w.executing.range(elsewhere.clone()).next().is_some();
         if task.attempt > 0 && self.workers.iter().any(alive) {
             wrong.push(format!("{name} was started while an earlier run executes"));
         }
@@ -279,7 +288,7 @@
             wrong.push(format!("{name} was granted less than it declared"));
         }
         let w = &self.workers[worker];
-        if !w.known {
+        if !w.registered {
             wrong.push(format!(
                 "{name} was started on {}, which is gone",
                 w.spec.id
@@ -292,23 +301,23 @@
         if !sum.is_some_and(|sum| sum.fits_in(&w.spec.capacity)) {
             wrong.push(format!("{name} overfilled {}", w.spec.id));
         }
-        let fine = wrong.is_empty();
+        let valid = wrong.is_empty();
         wrong.into_iter().for_each(|what| self.violation(what));
-        if fine {
+        if valid {
             self.record_start(key, worker, granted);
         }
-        fine
+        valid
     }
 
     fn record_start(&mut self, key: RunKey, worker: usize, granted: Resources) {
         let now = self.now;
-        self.set_never(key.job, false);
-        self.wait_more(key.job, -1);
+        self.set_unschedulable(key.job, false);
+        self.adjust_waiting(key.job, -1);
         let used = &mut self.teams[self.jobs[key.job].team].used;
         *used = used.checked_add(&granted).unwrap_or(*used);
         let task = self.task_mut(key);
         task.attempt = key.attempt;
-        task.at = At::Running {
+        task.status = TaskStatus::Running {
             worker,
             granted,
             since: now,
@@ -320,12 +329,12 @@
         self.used = self.used.checked_add(&granted).unwrap_or(self.used);
     }
 
-    /// Frees what a run held and puts its task where it belongs.
-    pub(crate) fn settle(&mut self, key: RunKey, next: At) {
+    /// Releases the resources of a run and sets the next status of its task.
+    pub(crate) fn end_run(&mut self, key: RunKey, next: TaskStatus) {
         let Some(worker) = self.worker_of(key) else {
             return;
         };
-        let At::Running { granted, .. } = self.task(key).at else {
+        let TaskStatus::Running { granted, .. } = self.task(key).status else {
             return;
         };
         let w = &mut self.workers[worker];
@@ -333,103 +342,104 @@
         w.executing.remove(&key);
         w.granted = w.granted.checked_sub(&granted).unwrap_or_default();
         self.used = self.used.checked_sub(&granted).unwrap_or_default();
-        if matches!(next, At::Waiting) {
-            self.wait_more(key.job, 1);
+        if matches!(next, TaskStatus::Waiting) {
+            self.adjust_waiting(key.job, 1);
         }
         let used = &mut self.teams[self.jobs[key.job].team].used;
         *used = used.checked_sub(&granted).unwrap_or_default();
-        self.task_mut(key).at = next;
+        self.task_mut(key).status = next;
     }
 
-    /// Closes a job: what waits is over.
-    pub(crate) fn close(&mut self, job: usize, as_final: Final) {
-        self.set_never(job, false);
-        let truth = &mut self.jobs[job];
-        truth.closed = true;
-        for task in &mut truth.tasks {
-            if matches!(task.at, At::Waiting) {
-                task.at = At::Over(as_final);
+    /// Closes a job and ends its waiting tasks with `outcome`; running tasks are not changed.
+    pub(crate) fn close_job(&mut self, job: usize, outcome: TaskOutcome) {
+        self.set_unschedulable(job, false);
+        let sim = &mut self.jobs[job];
+        sim.closed = true;
+        for task in &mut sim.tasks {
+            if matches!(task.status, TaskStatus::Waiting) {
+                task.status = TaskStatus::Ended(outcome);
             }
         }
-        let waiting = i64::from(truth.waiting);
-        self.wait_more(job, -waiting);
+        let waiting = i64::from(sim.waiting);
+        self.adjust_waiting(job, -waiting);
     }
 
-    /// Changes the number of a job's waiting tasks.
-    fn wait_more(&mut self, job: usize, n: i64) {
-        let truth = &mut self.jobs[job];
-        truth.waiting = truth.waiting.saturating_add_signed(n as i32);
-        if !truth.never {
-            let (team, need) = (truth.team, truth.spec.need);
+    /// Adds `n`, which may be negative, to the waiting tasks of a job.
+    fn adjust_waiting(&mut self, job: usize, n: i64) {
+        let sim = &mut self.jobs[job];
+        sim.waiting = sim.waiting.saturating_add_signed(n as i32);
+        if !sim.unschedulable {
+            let (team, need) = (sim.team, sim.spec.need);
             self.count_waiting(team, &need, n);
         }
     }
 
-    /// Notes that a job was said to run never, or not any more: its tasks are no demand.
-    pub(crate) fn set_never(&mut self, job: usize, never: bool) {
-        let truth = &mut self.jobs[job];
-        if std::mem::replace(&mut truth.never, never) == never {
+    /// Sets whether the job can never run. The tasks of such a job do not count as demand.
+    pub(crate) fn set_unschedulable(&mut self, job: usize, unschedulable: bool) {
+        let sim = &mut self.jobs[job];
+        if std::mem::replace(&mut sim.unschedulable, unschedulable) == unschedulable {
             return;
         }
-        let sign = if never { -1 } else { 1 };
-        let n = i64::from(truth.waiting) * sign;
-        let (team, need) = (truth.team, truth.spec.need);
+        let sign = if unschedulable { -1 } else { 1 };
+        let n = i64::from(sim.waiting) * sign;
+        let (team, need) = (sim.team, sim.spec.need);
         self.count_waiting(team, &need, n);
     }
 
-    /// Changes the number of a job's tasks.
+    /// Changes the number of tasks of a job. Excess waiting tasks are dropped; ended tasks within
+    /// the new size wait again.
     pub(crate) fn resize(&mut self, job: usize, tasks: u32) {
-        let truth = &mut self.jobs[job];
-        let before = truth.spec.tasks as usize;
-        let mut spec = (*truth.spec).clone();
+        let sim = &mut self.jobs[job];
+        let before = sim.spec.tasks as usize;
+        let mut spec = (*sim.spec).clone();
         spec.tasks = tasks;
-        truth.spec = Arc::new(spec);
-        let mut fewer: i64 = 0;
-        for task in truth.tasks.iter_mut().skip(tasks as usize) {
-            if matches!(task.at, At::Waiting) {
-                task.at = At::Over(Final::Dropped);
-                fewer -= 1;
+        sim.spec = Arc::new(spec);
+        let mut delta: i64 = 0;
+        for task in sim.tasks.iter_mut().skip(tasks as usize) {
+            if matches!(task.status, TaskStatus::Waiting) {
+                task.status = TaskStatus::Ended(TaskOutcome::Dropped);
+                delta -= 1;
             }
         }
-        for task in truth.tasks.iter_mut().take(tasks as usize).skip(before) {
-            if matches!(task.at, At::Over(_)) {
-                task.at = At::Waiting;
-                fewer += 1;
+        for task in sim.tasks.iter_mut().take(tasks as usize).skip(before) {
+            if matches!(task.status, TaskStatus::Ended(_)) {
+                task.status = TaskStatus::Waiting;
+                delta += 1;
             }
         }
-        let left = truth.spec.run_time;
-        let fresh = TaskTruth {
-            at: At::Waiting,
+        let left = sim.spec.run_time;
+        let fresh = SimTask {
+            status: TaskStatus::Waiting,
             attempt: 0,
             preemptions: 0,
             left,
             ran: false,
             started: false,
         };
-        let more = i64::from(tasks) - truth.tasks.len() as i64;
+        let more = i64::from(tasks) - sim.tasks.len() as i64;
         if more > 0 {
-            truth.tasks.resize(tasks as usize, fresh);
+            sim.tasks.resize(tasks as usize, fresh);
         }
-        let changed = fewer + more.max(0);
-        self.wait_more(job, changed);
+        let changed = delta + more.max(0);
+        self.adjust_waiting(job, changed);
     }
 
-    /// Where a task goes after its run ended.
-    pub(crate) fn after(&self, key: RunKey, end: RunEnd) -> At {
+    /// Status of a task after its run ended with `end`.
+    pub(crate) fn status_after(&self, key: RunKey, end: RunEnd) -> TaskStatus {
         let job = &self.jobs[key.job];
         let wanted = !job.closed && key.index < job.spec.tasks;
         let again = crate::placement::may_restart(&job.spec, end);
         match end {
-            RunEnd::Done if !again => At::Over(Final::Done),
-            _ if again && wanted => At::Waiting,
-            _ if job.closed => At::Over(Final::Cancelled),
-            RunEnd::Failed => At::Over(Final::Failed),
-            RunEnd::Stopped => At::Over(Final::Unknown),
-            _ => At::Over(Final::Dropped),
+            RunEnd::Done if !again => TaskStatus::Ended(TaskOutcome::Done),
+            _ if again && wanted => TaskStatus::Waiting,
+            _ if job.closed => TaskStatus::Ended(TaskOutcome::Cancelled),
+            RunEnd::Failed => TaskStatus::Ended(TaskOutcome::Failed),
+            RunEnd::Stopped => TaskStatus::Ended(TaskOutcome::Unknown),
+            _ => TaskStatus::Ended(TaskOutcome::Dropped),
         }
     }
 
-    /// Checks what must hold at every instant, over what changed last.
+    /// Checks that the worker has not granted more than its capacity.
     pub(crate) fn check_worker(&mut self, worker: usize) {
         let w = &self.workers[worker];
         if !w.granted.fits_in(&w.spec.capacity) {
@@ -438,22 +448,23 @@
         }
     }
 
-    /// Checks that no part of a gang runs on while another waits, unless its rule allows it.
+    /// Checks that no member of a gang runs while another waits, unless the gang replaces lost
+    /// members one by one.
     pub(crate) fn check_gang(&mut self, job: usize) {
-        let truth = &self.jobs[job];
-        let replaces = truth.spec.on_member_loss == MemberLoss::Replace;
-        if truth.spec.class != WorkClass::Gang || truth.closed || replaces {
+        let sim = &self.jobs[job];
+        let replaces = sim.spec.on_member_loss == MemberLoss::Replace;
+        if sim.spec.class != WorkClass::Gang || sim.closed || replaces {
             return;
         }
-        let running = truth
+        let running = sim
             .tasks
             .iter()
-            .filter(|t| matches!(t.at, At::Running { ending: false, .. }));
+            .filter(|t| matches!(t.status, TaskStatus::Running { ending: false, .. }));
         let running = running.count();
-        if running > 0 && truth.waiting > 0 {
+        if running > 0 && sim.waiting > 0 {
             let what = format!(
                 "gang {} runs {running} tasks while {} wait",
-                truth.spec.name, truth.waiting
+                sim.spec.name, sim.waiting
             );
             self.violation(what);
         }
--- a/src/replay/measures.rs
+++ b/src/replay/measures.rs
@@ -5,7 +5,7 @@
 
 use hdrhistogram::Histogram;
 
-use super::ledger::{At, Final, Ledger, Violation};
+use super::ledger::{SimCluster, TaskOutcome, TaskStatus, Violation};
 use super::trace::Header;
 use crate::error::{Error, Result, Step};
 use crate::ids::{JobName, KindName, TeamName, Timestamp, WorkerId};
@@ -17,7 +17,7 @@
 /// Length of the buckets of plots.
 const BUCKET: Duration = Duration::from_secs(5);
 /// Longest waiting time that is told apart, in milliseconds.
-const LONGEST_WAIT: u64 = 24 * 3600 * 1000;
+const MAX_WAIT_MS: u64 = 24 * 3600 * 1000;
 /// Share of the saturated time for which a team must wait to count in the fairness, in percent.
 const WAITING_PERCENT: u64 = 50;
 
@@ -115,7 +115,7 @@
     now: Timestamp,
     placer_time: Duration,
     samples: Vec<Sample>,
-    packed: (f64, f64),
+    packing_sums: (f64, f64),
     saturated: u64,
     /// Samples at which a team waited, and the sum of its weighted shares in them.
     shares: BTreeMap<TeamName, (u64, f64)>,
@@ -138,11 +138,11 @@
         let longest_call = Duration::from_secs(60).as_nanos() as u64;
         let mut bands = BTreeMap::new();
         for band in [Band::Spare, Band::Normal, Band::High, Band::Urgent] {
-            bands.insert(band, histogram(LONGEST_WAIT)?);
+            bands.insert(band, histogram(MAX_WAIT_MS)?);
         }
         let mut kinds = BTreeMap::new();
         for kind in header.kinds.keys() {
-            kinds.insert(kind.clone(), histogram(LONGEST_WAIT)?);
+            kinds.insert(kind.clone(), histogram(MAX_WAIT_MS)?);
         }
         let weights = header.teams.iter().map(|(n, t)| (n.clone(), t.weight));
         Ok(Self {
@@ -155,7 +155,7 @@
             now: Timestamp::ZERO,
             placer_time: Duration::ZERO,
             samples: Vec::new(),
-            packed: (0.0, 0.0),
+            packing_sums: (0.0, 0.0),
             saturated: 0,
             shares: BTreeMap::new(),
             starts: 0,
@@ -168,15 +168,15 @@
         })
     }
 
-    pub(crate) const fn handled(&mut self, took: Duration) {
+    pub(crate) const fn record_event(&mut self, took: Duration) {
         self.placer_time = self.placer_time.saturating_add(took);
     }
 
-    pub(crate) const fn ended(&mut self, _end: RunEnd) {
+    pub(crate) const fn record_end(&mut self, _end: RunEnd) {
         self.ends += 1;
     }
 
-    pub(crate) fn decided(&mut self, took: Duration, starts: u64) {
+    pub(crate) fn record_decide(&mut self, took: Duration, starts: u64) {
         self.placer_time = self.placer_time.saturating_add(took);
         let nanos = took.as_nanos() as u64;
         self.per_call.saturating_record(nanos.max(1));
@@ -189,7 +189,7 @@
         *point = point.max(took.as_secs_f64() * 1e6);
     }
 
-    pub(crate) fn started(
+    pub(crate) fn record_start(
         &mut self,
         now: Timestamp,
         band: Band,
@@ -213,12 +213,12 @@
     }
 
     /// Takes in the state at a tick.
-    pub(crate) fn sample(&mut self, ledger: &Ledger) {
-        self.now = ledger.now;
-        let up = ledger.workers.iter().filter(|w| w.known);
+    pub(crate) fn sample(&mut self, cluster: &SimCluster) {
+        self.now = cluster.now;
+        let up = cluster.workers.iter().filter(|w| w.registered);
         let total = up.fold([0_u64; 3], |sum, w| add(sum, &w.spec.capacity));
-        let used = add([0; 3], &ledger.used);
-        let demand = [0, 1, 2].map(|d| used[d] + ledger.waiting[d]);
+        let used = add([0; 3], &cluster.used);
+        let demand = [0, 1, 2].map(|d| used[d] + cluster.waiting[d]);
         let part = |n: u64, all: u64| n as f64 / (all.max(1)) as f64;
         let scarcest = (0..3)
             .filter(|&d| total[d] > 0)
@@ -227,21 +227,21 @@
             return;
         };
         let sample = Sample {
-            at: ledger.now,
+            at: cluster.now,
             used: part(used[d], total[d]),
             bound: part(demand[d], total[d]).min(1.0),
         };
         self.samples.push(sample);
         if demand[d] * 100 >= total[d] * SATURATED_PERCENT {
             self.saturated += 1;
-            self.packed.0 += sample.used;
-            self.packed.1 += sample.bound;
-            self.sample_shares(ledger, total);
+            self.packing_sums.0 += sample.used;
+            self.packing_sums.1 += sample.bound;
+            self.sample_shares(cluster, total);
         }
     }
 
-    fn sample_shares(&mut self, ledger: &Ledger, total: [u64; 3]) {
-        for team in ledger.teams.iter().filter(|t| t.waiting > 0) {
+    fn sample_shares(&mut self, cluster: &SimCluster, total: [u64; 3]) {
+        for team in cluster.teams.iter().filter(|t| t.waiting > 0) {
             let used = add([0; 3], &team.used);
             let shares = (0..3).map(|d| used[d] as f64 / total[d].max(1) as f64);
             let share = shares.fold(0.0, f64::max);
@@ -271,28 +271,33 @@
     }
 
     /// Sums up, and looks where every task ended.
-    pub(crate) fn finish(mut self, header: &Header, ledger: Ledger) -> Measured {
+    pub(crate) fn finish(mut self, header: &Header, cluster: SimCluster) -> Measured {
         let mut measured = Measured::default();
-        for job in &ledger.jobs {
+        for job in &cluster.jobs {
             let long = matches!(job.spec.class, WorkClass::Service | WorkClass::Watcher);
-            if job.never {
+            if job.unschedulable {
                 measured.never_run.insert(job.spec.name.clone());
                 continue;
             }
             for task in &job.tasks {
-                match task.at {
-                    At::Waiting => {
+                match task.status {
+                    TaskStatus::Waiting => {
                         measured.unfinished += 1;
                         if !task.started {
-                            self.never_started(header, job.spec.band, ledger.now, job.arrived);
+                            self.record_never_started(
+                                header,
+                                job.spec.band,
+                                cluster.now,
+                                job.arrived,
+                            );
                         }
                     }
-                    At::Running { .. } => measured.unfinished += u64::from(!long),
-                    At::Over(Final::Done) => measured.done += 1,
-                    At::Over(Final::Unknown) => measured.unknown += 1,
-                    At::Over(Final::Failed) => measured.failed += 1,
-                    At::Over(Final::Cancelled) => {}
-                    At::Over(Final::Dropped) => {
+                    TaskStatus::Running { .. } => measured.unfinished += u64::from(!long),
+                    TaskStatus::Ended(TaskOutcome::Done) => measured.done += 1,
+                    TaskStatus::Ended(TaskOutcome::Unknown) => measured.unknown += 1,
+                    TaskStatus::Ended(TaskOutcome::Failed) => measured.failed += 1,
+                    TaskStatus::Ended(TaskOutcome::Cancelled) => {}
+                    TaskStatus::Ended(TaskOutcome::Dropped) => {
                         let expected = job.closed || long;
                         measured.lost += u64::from(!expected);
                     }
@@ -301,7 +306,8 @@
         }
         measured.trace = header.trace.to_string();
         measured.fairness = self.fairness();
-        measured.packing = (self.packed.1 > 0.0).then(|| self.packed.0 / self.packed.1);
+        measured.packing =
+            (self.packing_sums.1 > 0.0).then(|| self.packing_sums.0 / self.packing_sums.1);
         measured.waiting = times_of(&self.bands, Duration::from_millis);
         measured.waiting_by_kind = times_of(&self.kinds, Duration::from_millis);
         measured.per_start = times(&self.per_start, Duration::from_nanos);
@@ -319,13 +325,19 @@
         measured.given_up = self.given_up;
         measured.quarantined = self.quarantined;
         measured.released = self.released;
-        measured.violations = ledger.violations;
-        measured.violation_count = ledger.violation_count;
+        measured.violations = cluster.violations;
+        measured.violation_count = cluster.violation_count;
         measured
     }
 
     /// A task that never started has waited until the end.
-    fn never_started(&mut self, _header: &Header, band: Band, now: Timestamp, arrived: Timestamp) {
+    fn record_never_started(
+        &mut self,
+        _header: &Header,
+        band: Band,
+        now: Timestamp,
+        arrived: Timestamp,
+    ) {
         let waited = now.saturating_sub(arrived).as_millis() as u64;
         if let Some(h) = self.bands.get_mut(&band) {
             h.saturating_record(waited.max(1));
--- a/src/replay/outcome.rs
+++ b/src/replay/outcome.rs
@@ -11,7 +11,7 @@
 use crate::workload::Band;
 
 /// Largest number of tasks that may be stated.
-const MOST: u32 = 1_000_000;
+const MAX_COUNT: u32 = 1_000_000;
 
 /// What must come of a replay. Nothing doubled, nothing lost, no overfill and workers empty at
 /// their drains' deadlines are required of every trace.
@@ -96,7 +96,10 @@
             ),
         ];
         for (key, doc, slot) in counts {
-            v.scalar(Field::optional(key, doc), &mut Count::new(slot, 0, MOST));
+            v.scalar(
+                Field::optional(key, doc),
+                &mut Count::new(slot, 0, MAX_COUNT),
+            );
         }
     }
 
@@ -113,9 +116,9 @@
     /// An outcome that states no bounds: only what must always hold is required.
     pub fn unbounded() -> Self {
         Self {
-            unfinished: MOST,
-            unknown: MOST,
-            failed: MOST,
+            unfinished: MAX_COUNT,
+            unknown: MAX_COUNT,
+            failed: MAX_COUNT,
             ..Self::default()
         }
     }
@@ -166,9 +169,9 @@
         if *self == Self::unbounded() {
             return;
         }
-        same(missed, "never run", &self.never_run, &got.never_run);
-        same(missed, "given up", &self.given_up, &got.given_up);
-        same(missed, "quarantined", &self.quarantined, &got.quarantined);
+        check_names(missed, "never run", &self.never_run, &got.never_run);
+        check_names(missed, "given up", &self.given_up, &got.given_up);
+        check_names(missed, "quarantined", &self.quarantined, &got.quarantined);
     }
 
     fn missed_waits(&self, got: &Measured, missed: &mut Vec<String>) {
@@ -214,7 +217,7 @@
     }
 }
 
-fn same(
+fn check_names(
     missed: &mut Vec<String>,
     what: &str,
     stated: &[CompactString],
--- a/src/replay/report.rs
+++ b/src/replay/report.rs
@@ -107,7 +107,7 @@
             "{} ({}): {}",
             row.measured.trace,
             row.placer,
-            ends(&row.measured)
+            task_counts(&row.measured)
         );
     }
     for row in rows {
@@ -126,7 +126,7 @@
 }
 
 /// Where the tasks ended and which names stand out, in one line.
-fn ends(m: &Measured) -> String {
+fn task_counts(m: &Measured) -> String {
     let names = |what: &str, names: &BTreeSet<CompactString>| {
         let list: Vec<&str> = names.iter().map(CompactString::as_str).collect();
         let list = list.join(" ");
@@ -181,7 +181,7 @@
         @if let Some(missed) = row.missed.as_ref().filter(|m| !m.is_empty()) {
             ul { @for text in missed { li { (text) } } }
         }
-        p { (ends(m)) "." }
+        p { (task_counts(m)) "." }
         (figures(m))
         (waits(m))
         @for svg in plots { (PreEscaped(svg)) }
