--- a/src/replay/builder.rs
+++ b/src/replay/builder.rs
@@ -1,4 +1,4 @@
-//! Building traces from a seed.
+//! Builder for traces generated from a seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -8,7 +8,7 @@
 use crate::ids::WorkerId;
 use crate::resources::Resources;
 
-/// Collects the lines of one trace.
+/// Collects the lines of a trace; the same seed and calls give the same trace.
 pub(crate) struct Builder {
     pub(crate) header: Header,
     lines: Vec<Line>,
@@ -17,7 +17,7 @@
 }
 
 impl Builder {
-    /// Starts a trace that ends after some seconds.
+    /// Creates an empty trace that ends after `until_s` seconds.
     pub(crate) fn new(name: &str, seed: u64, until_s: u64, profile: &Profile) -> Self {
         Self {
             header: Header {
@@ -38,7 +38,7 @@
         self.lines.push(Line { at_ms, change });
     }
 
-    /// Adds a profile's workers, zone after zone in turn.
+    /// Adds the workers of a profile, distributed round-robin over its availability zones.
     pub(crate) fn workers(&mut self, profile: &Profile) {
         let zones = profile.zones.len() as u32;
         for i in 0..profile.workers {
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Adds a job with a fresh name; its true run time lies around the declared one.
+    /// Adds a job with a unique name. Its actual run time is a random 0.5 to 1.3 times the declared
+    /// one.
     pub(crate) fn job(&mut self, at_ms: u64, kind: &str, tasks: u32) -> JobLine {
         self.next += 1;
         let declared = self.header.kinds.get(kind).map_or(0, |k| k.run_ms);
@@ -78,7 +79,7 @@
         job
     }
 
-    /// Changes the job that was added last.
+    /// Modifies the last line, if it is a job.
     pub(crate) fn change_last(&mut self, change: impl FnOnce(&mut JobLine)) {
         if let Some(Line {
             change: Change::Job(job),
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Adds jobs at random times with a mean rate.
+    /// Adds jobs as a Poisson process with a mean of `per_second` arrivals a second.
     pub(crate) fn poisson(
         &mut self,
         span_ms: std::ops::Range<u64>,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Puts the lines into the order of their times.
+    /// Sorts the lines by time; lines of the same time keep their order.
     pub(crate) fn finish(mut self) -> Trace {
         self.lines.sort_by_key(|line| line.at_ms);
         Trace {
@@ -119,7 +120,7 @@
     }
 }
 
-/// Name of a worker.
+/// ID of the worker with index `i` in a generated trace.
 pub(crate) fn worker(i: u32) -> WorkerId {
     format!("w{i:04}").into()
 }
--- a/src/replay/command.rs
+++ b/src/replay/command.rs
@@ -1,4 +1,4 @@
-//! The replay command, without its argument parsing.
+//! Implementation of the `replay` command; its arguments are parsed elsewhere.
 
 use std::fs::File;
 use std::io::{BufReader, BufWriter, Write};
@@ -12,32 +12,33 @@
 use crate::exit_codes::ExitCode;
 use crate::placement::{FirstFit, RandomOfK, Scheduler};
 
-/// Workers that the random baseline draws for one task.
+/// Number of workers that the random baseline samples for a task.
 const RANDOM_CANDIDATES: usize = 2;
-/// Times it draws again.
+/// Number of times the random baseline samples again.
 const RANDOM_RETRIES: usize = 8;
 
-/// What to replay.
+/// Arguments of the `replay` command.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayArgs {
-    /// Trace files; the outcome is read from the same name with `.yaml`, where there is one.
+    /// Trace files. The required outcome is read from the file of the same name with the extension
+    /// `.yaml`, if it exists.
     pub traces: Vec<PathBuf>,
-    /// Names of traces to generate; `all` for every one.
+    /// Names of traces to generate; `all` selects every one.
     pub generate: Vec<String>,
-    /// Seed of generated traces and of the scheduler.
+    /// Seed of generated traces, of the scheduler and of the random baseline.
     pub seed: u64,
-    /// Write generated traces into this folder instead of replaying them.
+    /// Folder into which generated traces are written instead of being replayed.
     pub write: Option<PathBuf>,
-    /// Also replay with the baselines.
+    /// Whether to replay with the baseline placers as well.
     pub baselines: bool,
-    /// Replay with this weight of short waiting instead of the trace's own.
+    /// Weight of short waiting against tight packing; replaces the one in the trace header.
     pub waiting_weight: Option<u32>,
-    /// Write an HTML page with plots here.
+    /// File for the HTML report with plots.
     pub html: Option<PathBuf>,
 }
 
-/// Replays traces, prints a table, and says by the exit code whether every stated outcome was
-/// met by the scheduler. Baselines are shown beside it and fail nothing.
+/// Replays traces and prints a table of the results. Returns `ExitCode::OutcomeMissed` if the
+/// scheduler missed a required outcome; the results of the baselines do not affect the exit code.
 pub fn command(args: &ReplayArgs, mut output: impl Write) -> Result<ExitCode> {
     let mut rows = Vec::new();
     for name in expand_names(&args.generate) {
@@ -91,7 +92,7 @@
     if let Some(weight) = args.waiting_weight {
         trace.header.waiting_weight = weight;
     }
-    // A generated trace has no stated outcome; what must always hold is checked all the same.
+    // Without a required outcome, as for generated traces, only the invariants are checked.
     let outcome = outcome.unwrap_or_else(Outcome::unbounded);
     let mut add = |placer, measured| {
         let missed = Some(outcome.missed(&measured));
--- a/src/replay/engine/runs.rs
+++ b/src/replay/engine/runs.rs
@@ -21,9 +21,9 @@
             return;
         }
         w.executing.insert(key);
-        let broken = w.fails_runs;
+        let fails_runs = w.fails_runs;
         let job = &self.cluster.jobs[key.job];
-        let failed = broken || job.line.fails;
+        let failed = fails_runs || job.line.fails;
         let long = matches!(job.spec.class, WorkClass::Service | WorkClass::Watcher);
         let takes = self.time_left(key);
         self.cluster.task_mut(key).ran = true;
--- a/src/replay/ledger.rs
+++ b/src/replay/ledger.rs
@@ -427,11 +427,11 @@
     /// Status of a task after its run ended with `end`.
     pub(crate) fn status_after(&self, key: RunKey, end: RunEnd) -> TaskStatus {
         let job = &self.jobs[key.job];
-        let wanted = !job.closed && key.index < job.spec.tasks;
+        let requested = !job.closed && key.index < job.spec.tasks;
         let again = crate::placement::may_restart(&job.spec, end);
         match end {
             RunEnd::Done if !again => TaskStatus::Ended(TaskOutcome::Done),
-            _ if again && wanted => TaskStatus::Waiting,
+            _ if again && requested => TaskStatus::Waiting,
             _ if job.closed => TaskStatus::Ended(TaskOutcome::Cancelled),
             RunEnd::Failed => TaskStatus::Ended(TaskOutcome::Failed),
             RunEnd::Stopped => TaskStatus::Ended(TaskOutcome::Unknown),
--- a/src/replay/measures.rs
+++ b/src/replay/measures.rs
@@ -1,4 +1,4 @@
-//! What a replay measures: waiting, packing, fairness and the cost of deciding.
+//! Measures of a replay: waiting times, packing, fairness and the time spent on decisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,102 +12,107 @@
 use crate::resources::Resources;
 use crate::workload::{Band, RunEnd, WorkClass};
 
-/// Share of the capacity from which on demand counts as saturating, in percent.
+/// Demand in percent of the capacity from which the cell counts as saturated.
 const SATURATED_PERCENT: u64 = 100;
-/// Length of the buckets of plots.
+/// Width of the time buckets of the plots.
 const BUCKET: Duration = Duration::from_secs(5);
-/// Longest waiting time that is told apart, in milliseconds.
+/// Upper bound of the waiting-time histograms; longer times are recorded as this.
 const MAX_WAIT_MS: u64 = 24 * 3600 * 1000;
-/// Share of the saturated time for which a team must wait to count in the fairness, in percent.
+/// A team counts for the fairness if it has waiting tasks in this percentage of the saturated
+/// samples.
 const WAITING_PERCENT: u64 = 50;
 
-/// Distribution of times.
+/// Summary of a distribution of durations.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Times {
-    /// Number.
+    /// Number of recorded durations.
     pub count: u64,
-    /// Half are at most this.
+    /// The median.
     pub p50: Duration,
-    /// 99 of 100 are at most this.
+    /// The 99th percentile.
     pub p99: Duration,
-    /// 999 of 1000 are at most this.
+    /// The 99.9th percentile.
     pub p999: Duration,
-    /// The longest.
+    /// The longest recorded duration.
     pub max: Duration,
 }
 
-/// One point of the plots.
+/// Use of the scarcest resource at one tick, for the packing plot.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sample {
-    /// Virtual time.
+    /// Time since the start of the trace.
     pub at: Timestamp,
-    /// Share of the scarcest resource that is granted, 0 to 1.
+    /// Granted share of the capacity, 0 to 1.
     pub used: f64,
-    /// Share that could be granted at most: demand, or all.
+    /// Upper bound of `used`: the demand as a share of the capacity, at most 1.
     pub bound: f64,
 }
 
-/// What one replay gave.
+/// Results of one replay.
 #[derive(Clone, Debug, Default)]
 pub struct Measured {
     /// Name of the trace.
     pub trace: String,
-    /// What must never happen, and did; the first ones.
+    /// The first violations of invariants.
     pub violations: Vec<Violation>,
-    /// Number of violations in all.
+    /// Number of all violations, including those not in `violations`.
     pub violation_count: u64,
-    /// Waiting from arrival to first start, by band.
+    /// Waiting times of tasks from arrival to first start, by band. Tasks that never started count
+    /// with the time until the end of the trace.
     pub waiting: BTreeMap<Band, Times>,
-    /// The same by kind.
+    /// Waiting times from arrival to first start by kind, of started tasks only.
     pub waiting_by_kind: BTreeMap<KindName, Times>,
-    /// Longest waiting by kind in each bucket of 5 s of starts.
+    /// Longest waiting time of the tasks started in each bucket of 5 s, by kind; points of
+    /// (seconds, seconds).
     pub waiting_points: BTreeMap<KindName, Vec<(f64, f64)>>,
-    /// Packing over time.
+    /// Granted share of the scarcest resource and its bound, one sample a tick.
     pub samples: Vec<Sample>,
-    /// Granted share over the bound while demand was above the capacity; none if it never was.
+    /// Granted share over its bound in the samples in which demand reached the capacity; `None` if
+    /// it never did.
     pub packing: Option<f64>,
-    /// Smallest over largest weighted dominant share of the teams that waited; none if fewer
-    /// than two did.
+    /// Smallest over largest weighted dominant share of the teams that waited for at least half of
+    /// the saturated time; `None` if fewer than two did.
     pub fairness: Option<f64>,
-    /// Starts.
+    /// Number of starts decided by the placer, including refused and invalid ones.
     pub starts: u64,
-    /// Time per start within one call of `decide`, over all starts.
+    /// Time of a `decide` call divided by its starts, counted once for each start.
     pub per_start: Times,
-    /// Time per call of `decide`.
+    /// Time of each `decide` call.
     pub per_call: Times,
-    /// Time spent in the placer in all, events taken in included.
+    /// Total time spent in the placer, in `apply` and `decide`.
     pub placer_time: Duration,
-    /// Longest `decide` call in each bucket, in microseconds.
+    /// Longest `decide` call in each bucket; points of (seconds, microseconds).
     pub decide_points: Vec<(f64, f64)>,
-    /// Runs told to end for a later band or another team's quota.
+    /// Number of runs stopped for a higher band or to return another team's quota.
     pub preempted: u64,
-    /// Jobs said to run never.
+    /// Jobs that the placer reported as unschedulable and that were so at the end.
     pub never_run: BTreeSet<JobName>,
-    /// Jobs given up.
+    /// Jobs that the placer failed.
     pub given_up: BTreeSet<JobName>,
-    /// Workers quarantined at any time.
+    /// Workers that were quarantined at least once.
     pub quarantined: BTreeSet<WorkerId>,
-    /// Workers let back from quarantine at any time.
+    /// Workers whose quarantine was ended at least once.
     pub released: BTreeSet<WorkerId>,
-    /// Tasks done.
+    /// Number of tasks that succeeded.
     pub done: u64,
-    /// Tasks whose outcome is not known.
+    /// Number of tasks that may have run and cannot be started again.
     pub unknown: u64,
-    /// Tasks that failed for good.
+    /// Number of tasks that failed and are not started again.
     pub failed: u64,
-    /// Tasks that neither ended nor belong to a job that never runs, and long-running tasks
-    /// that do not run.
+    /// Number of tasks that had not ended, and of long-running tasks that were not running. Tasks
+    /// of unschedulable jobs do not count.
     pub unfinished: u64,
-    /// Tasks that no state accounts for.
+    /// Number of tasks that were dropped although their job was not closed; long-running tasks,
+    /// which a resize may drop, do not count.
     pub lost: u64,
-    /// Why the first jobs that did not end were waiting, as the placer explains it.
+    /// The placer's explanations for the first jobs with tasks still waiting at the end.
     pub reasons: Vec<(JobName, String)>,
 }
 
-/// Sums while a replay runs.
+/// Accumulates the measures while a replay runs.
 pub(crate) struct Measures {
-    bands: BTreeMap<Band, Histogram<u64>>,
-    kinds: BTreeMap<KindName, Histogram<u64>>,
+    waits_by_band: BTreeMap<Band, Histogram<u64>>,
+    waits_by_kind: BTreeMap<KindName, Histogram<u64>>,
     kind_points: BTreeMap<KindName, BTreeMap<u64, f64>>,
     per_start: Histogram<u64>,
     per_call: Histogram<u64>,
@@ -115,9 +120,11 @@
     now: Timestamp,
     placer_time: Duration,
     samples: Vec<Sample>,
+    /// Sums of the granted share and of its bound over the saturated samples.
     packing_sums: (f64, f64),
-    saturated: u64,
-    /// Samples at which a team waited, and the sum of its weighted shares in them.
+    saturated_samples: u64,
+    /// For each team, the number of saturated samples in which it had waiting tasks, and the sum
+    /// of its weighted dominant shares in them.
     shares: BTreeMap<TeamName, (u64, f64)>,
     starts: u64,
     ends: u64,
@@ -146,8 +153,8 @@
         }
         let weights = header.teams.iter().map(|(n, t)| (n.clone(), t.weight));
         Ok(Self {
-            bands,
-            kinds,
+            waits_by_band: bands,
+            waits_by_kind: kinds,
             kind_points: BTreeMap::new(),
             per_start: histogram(longest_call)?,
             per_call: histogram(longest_call)?,
@@ -156,7 +163,7 @@
             placer_time: Duration::ZERO,
             samples: Vec::new(),
             packing_sums: (0.0, 0.0),
-            saturated: 0,
+            saturated_samples: 0,
             shares: BTreeMap::new(),
             starts: 0,
             ends: 0,
@@ -185,7 +192,10 @@
             self.per_start.saturating_record_n(each, starts);
             self.starts += starts;
         }
-        let point = self.decide_points.entry(bucket(self.now)).or_default();
+        let point = self
+            .decide_points
+            .entry(bucket_index(self.now))
+            .or_default();
         *point = point.max(took.as_secs_f64() * 1e6);
     }
 
@@ -197,43 +207,43 @@
         waited: Duration,
     ) {
         let ms = (waited.as_millis() as u64).max(1);
-        if let Some(h) = self.bands.get_mut(&band) {
+        if let Some(h) = self.waits_by_band.get_mut(&band) {
             h.saturating_record(ms);
         }
-        if let Some(h) = self.kinds.get_mut(kind) {
+        if let Some(h) = self.waits_by_kind.get_mut(kind) {
             h.saturating_record(ms);
         }
         if !self.kind_points.contains_key(kind) {
             self.kind_points.insert(kind.clone(), BTreeMap::new());
         }
         if let Some(points) = self.kind_points.get_mut(kind) {
-            let point = points.entry(bucket(now)).or_default();
+            let point = points.entry(bucket_index(now)).or_default();
             *point = point.max(waited.as_secs_f64());
         }
     }
 
-    /// Takes in the state at a tick.
+    /// Samples the state of the cluster at a tick.
     pub(crate) fn sample(&mut self, cluster: &SimCluster) {
         self.now = cluster.now;
-        let up = cluster.workers.iter().filter(|w| w.registered);
-        let total = up.fold([0_u64; 3], |sum, w| add(sum, &w.spec.capacity));
+        let registered = cluster.workers.iter().filter(|w| w.registered);
+        let total = registered.fold([0_u64; 3], |sum, w| add(sum, &w.spec.capacity));
         let used = add([0; 3], &cluster.used);
         let demand = [0, 1, 2].map(|d| used[d] + cluster.waiting[d]);
-        let part = |n: u64, all: u64| n as f64 / (all.max(1)) as f64;
+        let ratio = |n: u64, all: u64| n as f64 / (all.max(1)) as f64;
         let scarcest = (0..3)
             .filter(|&d| total[d] > 0)
-            .max_by(|&a, &b| part(demand[a], total[a]).total_cmp(&part(demand[b], total[b])));
+            .max_by(|&a, &b| ratio(demand[a], total[a]).total_cmp(&ratio(demand[b], total[b])));
         let Some(d) = scarcest else {
             return;
         };
         let sample = Sample {
             at: cluster.now,
-            used: part(used[d], total[d]),
-            bound: part(demand[d], total[d]).min(1.0),
+            used: ratio(used[d], total[d]),
+            bound: ratio(demand[d], total[d]).min(1.0),
         };
         self.samples.push(sample);
         if demand[d] * 100 >= total[d] * SATURATED_PERCENT {
-            self.saturated += 1;
+            self.saturated_samples += 1;
             self.packing_sums.0 += sample.used;
             self.packing_sums.1 += sample.bound;
             self.sample_shares(cluster, total);
@@ -259,7 +269,7 @@
     fn fairness(&self) -> Option<f64> {
         let waited = self.shares.values();
         let averages: Vec<f64> = waited
-            .filter(|(n, _)| n * 100 >= self.saturated * WAITING_PERCENT)
+            .filter(|(n, _)| n * 100 >= self.saturated_samples * WAITING_PERCENT)
             .map(|(n, sum)| sum / *n as f64)
             .collect();
         if averages.len() < 2 {
@@ -270,7 +280,7 @@
         (most > 0.0).then(|| least / most)
     }
 
-    /// Sums up, and looks where every task ended.
+    /// Computes the results and counts the tasks by their final status.
     pub(crate) fn finish(mut self, header: &Header, cluster: SimCluster) -> Measured {
         let mut measured = Measured::default();
         for job in &cluster.jobs {
@@ -308,8 +318,8 @@
         measured.fairness = self.fairness();
         measured.packing =
             (self.packing_sums.1 > 0.0).then(|| self.packing_sums.0 / self.packing_sums.1);
-        measured.waiting = times_of(&self.bands, Duration::from_millis);
-        measured.waiting_by_kind = times_of(&self.kinds, Duration::from_millis);
+        measured.waiting = times_of(&self.waits_by_band, Duration::from_millis);
+        measured.waiting_by_kind = times_of(&self.waits_by_kind, Duration::from_millis);
         measured.per_start = times(&self.per_start, Duration::from_nanos);
         measured.per_call = times(&self.per_call, Duration::from_nanos);
         measured.waiting_points = self
@@ -330,7 +340,8 @@
         measured
     }
 
-    /// A task that never started has waited until the end.
+    /// Records a task that never started as having waited until the end of the trace. Otherwise
+    /// starved tasks would not count in the percentiles.
     fn record_never_started(
         &mut self,
         _header: &Header,
@@ -339,13 +350,13 @@
         arrived: Timestamp,
     ) {
         let waited = now.saturating_sub(arrived).as_millis() as u64;
-        if let Some(h) = self.bands.get_mut(&band) {
+        if let Some(h) = self.waits_by_band.get_mut(&band) {
             h.saturating_record(waited.max(1));
         }
     }
 }
 
-fn bucket(now: Timestamp) -> u64 {
+fn bucket_index(now: Timestamp) -> u64 {
     now.as_secs() / BUCKET.as_secs()
 }
 
--- a/src/replay/mod.rs
+++ b/src/replay/mod.rs
@@ -1,5 +1,5 @@
-//! Proof of placement by replay: traces with stated outcomes, run against the decision code
-//! under a virtual clock.
+//! Tests of placement by replay: traces of cluster events are run against a placer under a virtual
+//! clock, and the results are compared with the outcome required of each trace.
 //!
 //! A trace holds at most `MAX_LINES` lines, `MAX_BYTES` bytes and `MAX_TASKS` tasks. A replay
 //! holds all of them and their tasks in memory; `large` with 67,000 tasks peaked at 26 MB.
@@ -29,7 +29,7 @@
 
 use crate::workload::Band;
 
-/// Bands in the order in which they are shown.
+/// Bands in the order of the columns of the table.
 pub(crate) const fn bands() -> [Band; 4] {
     [Band::Urgent, Band::High, Band::Normal, Band::Spare]
 }
--- a/src/replay/outcome.rs
+++ b/src/replay/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome stated beside a trace, and what a replay missed of it.
+//! The outcome required of a trace, and its comparison with the results of a replay.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,36 +10,36 @@
 use crate::schema::{Count, Field, Names, Percent, Problems, Record, Span, Visitor};
 use crate::workload::Band;
 
-/// Largest number of tasks that may be stated.
+/// Maximum of the task counts in an outcome.
 const MAX_COUNT: u32 = 1_000_000;
 
-/// What must come of a replay. Nothing doubled, nothing lost, no overfill and workers empty at
-/// their drains' deadlines are required of every trace.
+/// The outcome required of a replay. Every trace requires in addition that no task runs twice or is
+/// lost, no worker is overcommitted, and drained workers are empty at their deadlines.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// Longest waiting that 99 of 100 tasks of the band may have; zero for no bound.
+    /// Maximum 99th percentile of the waiting times in the band `urgent`; zero for no bound.
     pub urgent_p99: Duration,
-    /// The same for the band `high`.
+    /// Maximum 99th percentile of the waiting times in the band `high`; zero for no bound.
     pub high_p99: Duration,
-    /// The same for the band `normal`.
+    /// Maximum 99th percentile of the waiting times in the band `normal`; zero for no bound.
     pub normal_p99: Duration,
-    /// The same for the band `spare`.
+    /// Maximum 99th percentile of the waiting times in the band `spare`; zero for no bound.
     pub spare_p99: Duration,
-    /// Least packing while demand is above the capacity, in percent of the bound; 0 for none.
+    /// Minimum of `Measured::packing` in percent; 0 for no bound.
     pub packing_floor: u32,
-    /// Least share of the worst-served team by the best-served one, in percent; 0 for none.
+    /// Minimum of `Measured::fairness` in percent; 0 for no bound.
     pub fairness_floor: u32,
-    /// Jobs that are said to run never, and no others.
+    /// The exact set of jobs reported as unschedulable.
     pub never_run: Vec<JobName>,
-    /// Jobs that are given up, and no others.
+    /// The exact set of jobs that the placer fails.
     pub given_up: Vec<JobName>,
-    /// Workers that are quarantined at some time, and no others.
+    /// The exact set of workers that are quarantined at least once.
     pub quarantined: Vec<WorkerId>,
-    /// Most tasks that may not have ended.
+    /// Maximum number of tasks that have not ended.
     pub unfinished: u32,
-    /// Most tasks whose outcome may be unknown.
+    /// Maximum number of tasks that may have run and cannot be started again.
     pub unknown: u32,
-    /// Most tasks that may have failed for good.
+    /// Maximum number of tasks that failed and are not started again.
     pub failed: u32,
 }
 
@@ -113,7 +113,7 @@
 }
 
 impl Outcome {
-    /// An outcome that states no bounds: only what must always hold is required.
+    /// An outcome without bounds, which requires only the invariants of every trace.
     pub fn unbounded() -> Self {
         Self {
             unfinished: MAX_COUNT,
@@ -123,12 +123,12 @@
         }
     }
 
-    /// Reads an outcome from YAML; `name` is told in errors.
+    /// Reads an outcome from YAML; errors name the source as `name`.
     pub fn read(name: &str, text: &str) -> Result<Self, Problems> {
         crate::schema::read(name, text)
     }
 
-    /// Names everything that was stated and not met, one sentence each.
+    /// Lists the violated invariants and the unmet requirements, one sentence each.
     pub fn missed(&self, got: &Measured) -> Vec<String> {
         let mut missed: Vec<String> = got
             .violations
--- a/src/replay/profiles.rs
+++ b/src/replay/profiles.rs
@@ -1,4 +1,4 @@
-//! The two users' cells and work, from which traces are generated.
+//! Cell profiles and job kinds of the two users, from which traces are generated.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::resources::Resources;
 use crate::workload::{Band, Spread, WorkClass};
 
-/// A user's cell.
+/// Workers and policy of a generated cell.
 #[derive(Clone, Debug)]
 pub(crate) struct Profile {
     pub(crate) zones: &'static [&'static str],
@@ -15,11 +15,12 @@
     pub(crate) per_rack: u32,
     pub(crate) cores: u32,
     pub(crate) memory_mb: u32,
-    /// Every so manieth worker is older, with three quarters of the cores and half the memory.
+    /// One in this many workers is an older one, with three quarters of the cores and half the
+    /// memory.
     pub(crate) old_every: u32,
-    /// Every so manieth worker has accelerators.
+    /// One in this many workers has accelerators.
     pub(crate) accelerated_every: u32,
-    /// Weight of short waiting against packing.
+    /// Weight of short waiting against tight packing, 0 to 100.
     pub(crate) waiting_weight: u32,
 }
 
@@ -73,8 +74,8 @@
     }
 }
 
-/// Massfenster's kinds: quick checks, cut plans, reconciliations, and a gang that nests
-/// patterns on fabric.
+/// Job kinds of Massfenster: short checks, cut plans, reconciliations, and a gang that computes the
+/// nesting of patterns on fabric.
 pub(crate) fn massfenster_kinds() -> BTreeMap<KindName, KindLine> {
     let check = batch("fitters", Band::High, Resources::new(1, 2000, 0), 1500);
     let cut_plan = KindLine {
@@ -107,10 +108,10 @@
             service("fitters", Resources::new(4, 8000, 0)),
         ),
     ];
-    named(kinds)
+    to_map(kinds)
 }
 
-/// Torres's kinds: site checks, load reviews, rent watchers and payments.
+/// Job kinds of Torres: site checks, structural load reviews, rent watchers and payments.
 pub(crate) fn torres_kinds() -> BTreeMap<KindName, KindLine> {
     let site_check = batch("lease-desk", Band::High, Resources::new(1, 4000, 0), 2000);
     let review = KindLine {
@@ -154,15 +155,15 @@
             service("lease-desk", Resources::new(4, 8000, 0)),
         ),
     ];
-    named(kinds)
+    to_map(kinds)
 }
 
-fn named<const N: usize>(kinds: [(&str, KindLine); N]) -> BTreeMap<KindName, KindLine> {
+fn to_map<const N: usize>(kinds: [(&str, KindLine); N]) -> BTreeMap<KindName, KindLine> {
     let kinds = kinds.into_iter();
     kinds.map(|(name, kind)| (name.into(), kind)).collect()
 }
 
-/// Teams with a quota in cores, at two gigabytes a core, and equal weights.
+/// Teams of equal weight with the given quotas in cores, and 2 GB of memory for each core.
 pub(crate) fn teams(quotas: &[(&str, u32)]) -> BTreeMap<TeamName, TeamLine> {
     let teams = quotas.iter().map(|&(name, cores)| {
         let team = TeamLine {
--- a/src/replay/report.rs
+++ b/src/replay/report.rs
@@ -1,4 +1,4 @@
-//! A replay's table as text, and its plots as one HTML page.
+//! Reports of replays: a table as text, and an HTML page with tables and plots.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -14,17 +14,17 @@
 const STYLE: &str = "body{font:16px/1.5 sans-serif;max-width:60rem;margin:1rem auto;padding:0 1rem;\
 color-scheme:light dark}table{border-collapse:collapse}th,td{text-align:left;\
 padding:.25rem .75rem .25rem 0;border-bottom:1px solid #8888}svg{max-width:100%;height:auto}";
-/// Kinds shown in one plot; those with the most starts come first.
+/// Maximum number of kinds in the waiting plot; those with the most starts are shown.
 const KINDS_SHOWN: usize = 4;
 
-/// One replay with the placer's name and what was missed of its stated outcome.
+/// One replay in a report.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// Which placer.
+    /// Name of the placer, as printed.
     pub placer: &'static str,
-    /// What it gave.
+    /// Results of the replay.
     pub measured: Measured,
-    /// What was stated and not met; none when nothing was stated.
+    /// Unmet requirements, one sentence each; `None` if no outcome was required.
     pub missed: Option<Vec<String>>,
 }
 
@@ -46,16 +46,17 @@
     format!("{:.1}", d.as_secs_f64() * 1e6)
 }
 
-fn share(s: Option<f64>) -> String {
+fn percent(s: Option<f64>) -> String {
     s.map_or_else(|| "-".to_owned(), |s| format!("{:.1}", s * 100.0))
 }
 
-fn per_start(m: &Measured) -> Duration {
+fn placer_time_per_start(m: &Measured) -> Duration {
     let starts = u32::try_from(m.starts.max(1)).unwrap_or(u32::MAX);
     m.placer_time / starts
 }
 
-/// The table of several replays, one row each, with what was missed below.
+/// Formats a table with one row for each replay, followed by task counts, explanations for waiting
+/// jobs and unmet requirements.
 pub fn to_text(rows: &[Row]) -> String {
     let mut text = String::new();
     let _ = writeln!(
@@ -93,12 +94,12 @@
             waits[1],
             waits[2],
             waits[3],
-            share(m.packing),
-            share(m.fairness),
+            percent(m.packing),
+            percent(m.fairness),
             micros(m.per_start.p50),
             micros(m.per_start.p99),
             micros(m.per_call.p99),
-            micros(per_start(m)),
+            micros(placer_time_per_start(m)),
         );
     }
     for row in rows {
@@ -125,7 +126,8 @@
     text
 }
 
-/// Where the tasks ended and which names stand out, in one line.
+/// Formats the counts of tasks by final status, and the jobs and workers with exceptional outcomes,
+/// in one line.
 fn task_counts(m: &Measured) -> String {
     let names = |what: &str, names: &BTreeSet<CompactString>| {
         let list: Vec<&str> = names.iter().map(CompactString::as_str).collect();
@@ -150,7 +152,7 @@
     )
 }
 
-/// One HTML page with the tables and plots of several replays.
+/// Renders an HTML page with the tables and plots of several replays.
 pub fn to_html(rows: &[Row]) -> Result<String> {
     let sections: Vec<Markup> = rows.iter().map(section).collect::<Result<_>>()?;
     let page = html! {
@@ -182,29 +184,29 @@
             ul { @for text in missed { li { (text) } } }
         }
         p { (task_counts(m)) "." }
-        (figures(m))
-        (waits(m))
+        (measures_table(m))
+        (waits_table(m))
         @for svg in plots { (PreEscaped(svg)) }
     })
 }
 
-fn figures(m: &Measured) -> Markup {
+fn measures_table(m: &Measured) -> Markup {
     html! {
         table {
             tr { th { "starts" } td { (m.starts) } }
             tr { th { "preempted" } td { (m.preempted) } }
-            tr { th { "packing of the bound, %" } td { (share(m.packing)) } }
-            tr { th { "fairness, %" } td { (share(m.fairness)) } }
+            tr { th { "packing of the bound, %" } td { (percent(m.packing)) } }
+            tr { th { "fairness, %" } td { (percent(m.fairness)) } }
             tr { th { "decision per start p50 / p99 / p99.9, µs" } td {
                 (micros(m.per_start.p50)) " / " (micros(m.per_start.p99)) " / "
                 (micros(m.per_start.p999))
             } }
-            tr { th { "control cost per start, µs" } td { (micros(per_start(m))) } }
+            tr { th { "control cost per start, µs" } td { (micros(placer_time_per_start(m))) } }
         }
     }
 }
 
-fn waits(m: &Measured) -> Markup {
+fn waits_table(m: &Measured) -> Markup {
     let row = |name: String, t: &Times| {
         html! {
             tr {
--- a/src/replay/scenarios.rs
+++ b/src/replay/scenarios.rs
@@ -1,4 +1,4 @@
-//! The named traces.
+//! Generators of the named traces.
 
 use rand::RngExt;
 
@@ -9,7 +9,7 @@
 use crate::resources::Resources;
 use crate::workload::{Band, Spread, WorkClass};
 
-/// Names of the traces that can be generated, with what each is.
+/// Names and descriptions of the traces that can be generated.
 pub const NAMES: [(&str, &str); 11] = [
     (
         "saturday",
@@ -33,7 +33,7 @@
     ),
 ];
 
-/// Makes a named trace from a seed.
+/// Generates the trace `name` from a seed; fails if there is no trace of this name.
 pub fn generate(name: &str, seed: u64) -> Result<Trace> {
     let make = match name {
         "saturday" => saturday,
@@ -77,7 +77,8 @@
     b
 }
 
-/// Fitters' checks all day, cut plans for the night on top, reconciliations below.
+/// Checks of high priority throughout, bursts of cut plans at normal and reconciliations at spare
+/// priority.
 fn saturday(seed: u64) -> Trace {
     let mut b = massfenster("saturday", seed, 900);
     b.poisson(1000..600_000, 1.2, "check", 1..=12);
@@ -94,7 +95,7 @@
     b.finish()
 }
 
-/// Reviews and payments pile up while carriers keep asking.
+/// A backlog of reviews, payments and statements under a constant rate of site checks.
 fn month_end(seed: u64) -> Trace {
     let mut b = torres("month-end", seed, 1200);
     b.poisson(1000..800_000, 1.0, "site-check", 1..=8);
@@ -105,7 +106,8 @@
     b.finish()
 }
 
-/// A zone goes at peak, a leader after it, and a worker is cut off and comes back.
+/// Loss of an availability zone at peak load, then a failover of the leader, two workers that are
+/// partitioned and return, and two drains.
 fn zone_lost(seed: u64) -> Trace {
     let mut b = massfenster("zone-lost", seed, 900);
     b.poisson(1000..500_000, 1.0, "check", 1..=10);
@@ -141,7 +143,7 @@
     b.finish()
 }
 
-/// Thousands of tasks are cancelled at once, some of them running.
+/// Thousands of tasks, some of them running, are cancelled within two seconds.
 fn cancel_wave(seed: u64) -> Trace {
     let mut b = massfenster("cancel-wave", seed, 400);
     b.poisson(1000..300_000, 1.0, "check", 1..=6);
@@ -162,10 +164,11 @@
     b.finish()
 }
 
-/// Tasks use up to ten times what they declare, run ten times longer, and some reports lie.
+/// Tasks use up to ten times their declared resources or run up to ten times longer, two workers
+/// report false usage, and three jobs can never run.
 fn sizes_off(seed: u64) -> Trace {
     let mut b = torres("sizes-off", seed, 1800);
-    let twice = |r: Resources, n: u32| Resources {
+    let scale_by_halves = |r: Resources, n: u32| Resources {
         millicores: r.millicores * n / 2,
         memory_mb: r.memory_mb * n / 2,
         accelerators: 0,
@@ -176,8 +179,8 @@
         b.job(2000 + i * 2500, kind, n);
         let factor = [1, 2, 4, 20][(i % 4) as usize];
         let need = b.header.kinds[kind].need;
-        let off = (i / 3).is_multiple_of(4);
-        let scaled = twice(
+        let overruns = (i / 3).is_multiple_of(4);
+        let scaled = scale_by_halves(
             need,
             if kind == "site-check" {
                 factor
@@ -187,7 +190,7 @@
         );
         b.change_last(|job| {
             job.true_use = Some(scaled);
-            if off {
+            if overruns {
                 job.true_run_ms = job.true_run_ms.map(|ms| (ms * 10).min(200_000));
             }
         });
@@ -198,12 +201,14 @@
     };
     b.header.kinds.insert("too-wide".into(), too_big);
     b.job(30_000, "too-wide", 3);
-    let strange = KindLine {
+    let missing_accelerator = KindLine {
         accelerator: Some("h200".into()),
         need: Resources::new(2, 4000, 1),
         ..b.header.kinds["review"].clone()
     };
-    b.header.kinds.insert("too-rare".into(), strange);
+    b.header
+        .kinds
+        .insert("too-rare".into(), missing_accelerator);
     b.job(31_000, "too-rare", 1);
     b.job(32_000, "frame", 500);
     b.add(
@@ -223,7 +228,7 @@
     b.finish()
 }
 
-/// Three workers fail everything for a while; one kind fails everywhere.
+/// Three workers fail all runs for a while; one kind fails on every worker.
 fn bad_workers(seed: u64) -> Trace {
     let mut b = massfenster("bad-workers", seed, 900);
     let plan = KindLine {
@@ -246,8 +251,8 @@
     b.finish()
 }
 
-/// Gangs of half the cell and more, each of which would keep the others waiting for ever by
-/// holding its part; small work flows around them.
+/// Pairs of gangs that each need half of the cell or more. If a gang held resources while it waits
+/// for the rest, the others would deadlock; small jobs have to run meanwhile.
 fn crossing_gangs(seed: u64) -> Trace {
     let mut b = torres("crossing-gangs", seed, 1200);
     b.poisson(1000..400_000, 0.5, "site-check", 1..=8);
@@ -263,7 +268,7 @@
     b.finish()
 }
 
-/// The cell is full of work that saves its state and work that does not; urgent work arrives.
+/// Urgent jobs arrive in a cell full of jobs of which some can be checkpointed and some cannot.
 fn full_urgent(seed: u64) -> Trace {
     let mut b = massfenster("full-urgent", seed, 600);
     for i in 0..40 {
@@ -278,8 +283,8 @@
     b.finish()
 }
 
-/// Three teams with a quota of a third each: one fills the cell alone, the others come later
-/// and get their part back.
+/// Three teams with a quota of a third each. One fills the cell alone; the others arrive later and
+/// reclaim their quotas.
 fn quotas(seed: u64) -> Trace {
     let mut b = Builder::new("quotas", seed, 900, &TORRES);
     b.workers(&TORRES);
@@ -305,15 +310,17 @@
     b.finish()
 }
 
-/// Work for 90% of the cell, most of it long, with quick checks in between. The load without
-/// checks alone would be 86%, in waves, so that the cell is full for part of the time.
+/// Load of 90% of the cell, most of it from long jobs, with short checks in between. The load
+/// without the checks is 86% and varies, so that the cell is full for part of the time.
 fn ninety(seed: u64) -> Trace {
     let mut b = massfenster("ninety", seed, 1500);
-    let whole = 1520.0_f64;
-    // 24 services of 4 cores run all the time.
-    let left = whole * 0.86 - 96.0;
+    let total_cores = 1520.0_f64;
+    // The 24 tasks of the service, of 4 cores each, run all the time.
+    let batch_cores = total_cores * 0.86 - 96.0;
+    // A task has 4 cores for 60 s times 0.9, the mean factor of the run time; a job has 30 tasks
+    // on average.
     let per_task = 4.0 * 60.0 * 0.9;
-    let rate = left / per_task / 30.0;
+    let rate = batch_cores / per_task / 30.0;
     b.poisson(0..1_200_000, rate, "cut-plan", 10..=50);
     b.poisson(60_000..1_200_000, 2.0, "check", 1..=20);
     b.poisson(60_000..1_200_000, 0.05, "rush", 1..=4);
@@ -334,7 +341,8 @@
     waiting_weight: 50,
 };
 
-/// The aim's size: 160 teams, a fifth of 34,000 tasks long-running, 1,100 starts a second.
+/// The size that the scheduler is designed for: 160 teams, 34,000 tasks of which a fifth are
+/// long-running, and 1,100 starts a second.
 fn large(seed: u64) -> Trace {
     let mut b = Builder::new("large", seed, 60, &LARGE);
     b.workers(&LARGE);
@@ -371,7 +379,7 @@
         b.job(100, &format!("service-{}", i % 4), 20);
         b.change_last(|job| job.team = Some(format!("team-{:03}", i % 160).into()));
     }
-    // 110 jobs a second of ten tasks; each runs for about 25 s, so 27,000 run at once.
+    // 110 jobs a second of ten tasks on average, each for about 25 s, so 27,000 tasks run at once.
     for i in 0..6000_u64 {
         let n = b.rng.random_range(5..=15);
         b.job(1000 + i * 9, &format!("batch-{}", i % 4), n);
--- a/src/replay/trace.rs
+++ b/src/replay/trace.rs
@@ -1,4 +1,4 @@
-//! The trace format: one JSON object a line, the first of which is the header.
+//! The trace format: one JSON object on each line; the first line is the header.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -16,21 +16,22 @@
 use crate::resources::Resources;
 use crate::workload::{Band, JobSpec, MemberLoss, Spread, WorkClass, WorkerSpec};
 
-/// Version of the format.
+/// Version of the trace format; traces of other versions are refused.
 pub const FORMAT: u32 = 1;
-/// Most lines of one trace.
+/// Maximum number of lines of a trace, including the header.
 pub const MAX_LINES: usize = 200_000;
-/// Most bytes of one trace.
+/// Maximum size of a trace in bytes.
 pub const MAX_BYTES: usize = 64 * 1024 * 1024;
-/// Most tasks of one trace.
+/// Maximum number of tasks of all jobs in a trace.
 pub const MAX_TASKS: u64 = 1_000_000;
 
-/// A trace: what happens to a cell, with the truth that decisions do not see.
+/// A trace of the events in a cell. It contains actual run times, resource usage and failures, which
+/// the placer cannot see.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Trace {
-    /// What holds from the start.
+    /// Settings, teams and kinds that apply from the start.
     pub header: Header,
-    /// What happens, by rising time.
+    /// Events in the order of their times.
     pub lines: Vec<Line>,
 }
 
@@ -38,51 +39,51 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Header {
-    /// Version of the format.
+    /// Version of the trace format; has to be `FORMAT`.
     pub format: u32,
-    /// Name of the trace.
+    /// Name of the trace, shown in reports.
     pub trace: CompactString,
-    /// Seed of its generator.
+    /// Seed from which the trace was generated; not used in a replay.
     pub seed: u64,
-    /// Time at which the replay ends, also when work is left.
+    /// Time at which the replay ends, even if there are unfinished tasks.
     pub until_ms: u64,
     /// Weight of short waiting against tight packing, 0 to 100.
     pub waiting_weight: u32,
-    /// Teams with quotas.
+    /// Teams that have a quota or a weight.
     #[serde(default)]
     pub teams: BTreeMap<TeamName, TeamLine>,
-    /// Job kinds.
+    /// Kinds that the jobs of the trace refer to.
     pub kinds: BTreeMap<KindName, KindLine>,
 }
 
-/// A team.
+/// Quota and weight of a team.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamLine {
-    /// Guaranteed share.
+    /// Resources guaranteed to the team.
     pub quota: Resources,
-    /// Weight among teams that borrow.
+    /// Weight of the team in the division of the resources beyond the quotas.
     pub weight: u32,
 }
 
-/// A job kind as declared.
+/// Declaration of a job kind.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KindLine {
-    /// Team that is charged.
+    /// Team whose quota is charged, unless the job names another one.
     pub team: TeamName,
-    /// How the tasks live and start.
+    /// Whether tasks are long-running, and whether they start together.
     #[serde(default)]
     pub class: WorkClass,
-    /// Priority band.
+    /// Priority band of the tasks.
     #[serde(default)]
     pub band: Band,
     /// Declared need of one task.
     pub need: Resources,
-    /// Accelerator type required.
+    /// Required type of accelerator.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub accelerator: Option<AcceleratorName>,
-    /// Declared run time of one task.
+    /// Declared run time of one task; 0 for long-running ones.
     #[serde(default)]
     pub run_ms: u64,
     /// Whether a task that may have run can be started again.
@@ -91,127 +92,128 @@
     /// Whether a task can be checkpointed.
     #[serde(default)]
     pub checkpoint: bool,
-    /// Starts allowed for one task; 3 when absent.
+    /// Maximum number of attempts for one task; 3 when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_attempts: Option<u32>,
-    /// Failure domain to spread over.
+    /// Failure domain over which the tasks are spread.
     #[serde(default)]
     pub spread: Spread,
-    /// Availability zones allowed; all when empty.
+    /// Allowed availability zones; all when empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub zones: Vec<ZoneName>,
-    /// Rule for a gang that loses a worker.
+    /// What happens to a gang when one of its members is lost.
     #[serde(default)]
     pub on_member_loss: MemberLoss,
-    /// Tasks that may be away at once.
+    /// Maximum number of tasks that may be unavailable at the same time.
     #[serde(default)]
     pub max_unavailable: u32,
 }
 
-/// One line after the header.
+/// A line after the header.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// When it happens, from the start of the trace.
+    /// Time of the event since the start of the trace.
     pub at_ms: u64,
-    /// What happens.
+    /// The event, written as one more key of the line.
     #[serde(flatten)]
     pub change: Change,
 }
 
-/// What happens.
+/// An event of a trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
-    /// A worker joins, or comes back empty.
+    /// A worker joins, or rejoins without runs.
     Worker(WorkerLine),
-    /// A worker and everything on it is gone without a word.
+    /// A worker and all its runs are lost without notice.
     Lost(WorkerId),
-    /// All workers of an availability zone are gone without a word.
+    /// All workers of an availability zone are lost without notice.
     LostZone(ZoneName),
-    /// A worker is cut off: it runs on until its lease lapses, and is back later.
+    /// A network partition separates a worker from control. Its runs continue until its lease
+    /// expires.
     Cut {
-        /// The worker.
+        /// The partitioned worker.
         worker: WorkerId,
-        /// When it is heard again.
+        /// Time since the start of the trace at which the partition ends.
         back_ms: u64,
     },
     /// Every run on the worker fails from now on.
     Breaks(WorkerId),
     /// Runs on the worker succeed again.
     Mends(WorkerId),
-    /// The worker reports usage that is so many hundredths of the true one.
+    /// The worker reports false usage from now on.
     Lies {
-        /// The worker.
+        /// The reporting worker.
         worker: WorkerId,
-        /// 100 is the truth.
+        /// Reported usage in percent of the actual usage.
         percent: u32,
     },
     /// A job arrives.
     Job(JobLine),
     /// A job is cancelled.
     Cancel(JobName),
-    /// A long-running job's number of tasks changes.
+    /// The number of tasks of a long-running job changes.
     Resize {
-        /// The job.
+        /// Job to resize.
         job: JobName,
-        /// Tasks wanted.
+        /// New number of tasks.
         tasks: u32,
     },
-    /// A worker is to be empty within a time.
+    /// A drain starts: the worker gets no new runs and has to be empty at the deadline.
     Drain {
-        /// The worker.
+        /// Worker to drain.
         worker: WorkerId,
-        /// Time it has.
+        /// Time from now to the deadline.
         within_ms: u64,
     },
-    /// A worker takes work again.
+    /// The drain of a worker ends, so that it gets new runs again.
     Undrain(WorkerId),
-    /// The weight of short waiting changes.
+    /// The weight of short waiting against tight packing changes.
     Weight(u32),
-    /// The next so many starts are refused.
+    /// This many of the next starts are refused.
     Refuse(u32),
-    /// The control leader dies; a new one builds its placer from what is recorded.
+    /// The control leader fails; the new one restores its placer from the recorded state.
     Failover,
 }
 
-/// A worker.
+/// Declaration of a worker.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkerLine {
-    /// Name.
+    /// ID by which later lines refer to the worker.
     pub id: WorkerId,
-    /// Availability zone.
+    /// Availability zone, a failure domain for spreading.
     pub zone: ZoneName,
-    /// Rack.
+    /// Rack within the zone, a failure domain for spreading.
     pub rack: RackName,
-    /// What it holds.
+    /// Resources available to runs.
     pub capacity: Resources,
-    /// Type of its accelerators.
+    /// Type of the accelerators, if the worker has any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub accelerator: Option<AcceleratorName>,
 }
 
-/// A job, with the truth about its tasks.
+/// A job, with the actual behaviour of its tasks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobLine {
-    /// Name.
+    /// Name by which later lines refer to the job.
     pub name: JobName,
-    /// Kind.
+    /// Kind, declared in the header.
     pub kind: KindName,
     /// Number of tasks; 1 when absent.
     #[serde(default = "one", skip_serializing_if = "is_one")]
     pub tasks: u32,
-    /// Team, when it differs from the kind's.
+    /// Team, if it differs from that of the kind.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub team: Option<TeamName>,
-    /// True run time of one task with all it uses; the declared one when absent.
+    /// Actual run time of a task that is granted all it uses; the declared one when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub true_run_ms: Option<u64>,
-    /// What a task truly uses; the declared need when absent.
+    /// Actual resource usage of a task; the declared need when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub true_use: Option<Resources>,
-    /// Whether every run fails.
+    /// Whether every run of the job fails.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub fails: bool,
 }
@@ -229,7 +231,7 @@
 }
 
 impl WorkerLine {
-    /// The worker as it announces itself.
+    /// The specification with which the worker registers.
     pub fn spec(&self) -> WorkerSpec {
         WorkerSpec {
             id: self.id.clone(),
@@ -242,7 +244,7 @@
 }
 
 impl Header {
-    /// The policy that holds from the start.
+    /// The policy at the start of the trace.
     pub fn policy(&self) -> Policy {
         Policy {
             waiting_weight: self.waiting_weight,
@@ -251,7 +253,7 @@
         }
     }
 
-    /// The teams as the document would declare them.
+    /// The teams in the form of the configuration document.
     pub fn declared_teams(&self) -> BTreeMap<TeamName, Team> {
         let teams = self.teams.iter().map(|(name, line)| {
             let team = Team {
@@ -264,7 +266,7 @@
         teams.collect()
     }
 
-    /// The job as the scheduler sees it.
+    /// The job specification that the scheduler receives; `None` if the kind is not declared.
     pub fn spec(&self, job: &JobLine) -> Option<Arc<JobSpec>> {
         let kind = self.kinds.get(&job.kind)?;
         Some(Arc::new(JobSpec {
@@ -290,13 +292,13 @@
 }
 
 impl Line {
-    /// When it happens.
+    /// Time of the event since the start of the trace.
     pub const fn at(&self) -> Timestamp {
         Duration::from_millis(self.at_ms)
     }
 }
 
-/// Reads a trace; `name` is told in errors.
+/// Reads a trace and checks its limits; errors name the source as `name` and give the line.
 pub fn read(name: &str, input: impl BufRead) -> Result<Trace> {
     let refuse = |line: usize, what: String| {
         Error::new(Step::Replay, format!("line {line}: {what}")).with_peer(name)
@@ -307,7 +309,8 @@
     let mut last = 0;
     for (i, text) in input.lines().enumerate() {
         let n = i + 1;
-        let text = text.map_err(|e| Error::caused(Step::Replay, "reading", e).with_peer(name))?;
+        let text =
+            text.map_err(|e| Error::caused(Step::Replay, "reading the trace", e).with_peer(name))?;
         bytes += text.len() + 1;
         if bytes > MAX_BYTES || n > MAX_LINES {
             let limit = format!("a trace has at most {MAX_LINES} lines and {MAX_BYTES} bytes");
@@ -322,7 +325,10 @@
         }
         let line: Line = serde_json::from_str(&text).map_err(|e| refuse(n, e.to_string()))?;
         if line.at_ms < last {
-            return Err(refuse(n, "the time goes back".to_owned()));
+            return Err(refuse(
+                n,
+                "at_ms is less than in the line before".to_owned(),
+            ));
         }
         last = line.at_ms;
         if let Change::Job(job) = &line.change {
@@ -342,7 +348,7 @@
     Ok(trace)
 }
 
-/// Writes a trace.
+/// Writes a trace in the format that `read` reads.
 pub fn write(trace: &Trace, mut output: impl Write) -> Result<()> {
     let failed = |e: std::io::Error| Error::caused(Step::Replay, "writing a trace", e);
     let encode = |e: serde_json::Error| Error::caused(Step::Replay, "encoding a trace", e);
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -1,4 +1,5 @@
-//! Traces against their stated outcomes, and that the checks behind them can fail.
+//! Replays of the committed traces against their required outcomes, and tests that the checks of a
+//! replay detect faults.
 
 use std::path::PathBuf;
 
@@ -9,7 +10,7 @@
 use yuccahold::replay::{self, Change, Outcome, ReplayArgs};
 use yuccahold::resources::Resources;
 
-fn committed(name: &str) -> PathBuf {
+fn committed_trace(name: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("traces");
     folder.join(format!("{name}.jsonl"))
 }
@@ -29,7 +30,7 @@
     )]
     name: &str,
 ) {
-    let path = committed(name);
+    let path = committed_trace(name);
     assert!(path.with_extension("yaml").exists());
     let args = ReplayArgs {
         traces: vec![path],
@@ -46,26 +47,26 @@
     );
 }
 
-/// Ways in which a placer can break what must always hold.
+/// Ways in which a placer violates an invariant.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// Starts each task under the next attempt as well.
+    /// Starts each task a second time, as the next attempt.
     Double,
-    /// Ignores what is granted already.
+    /// Ignores the capacity of workers.
     Overfill,
     /// Starts work on workers that are being drained.
     IgnoreDrain,
-    /// Forgets that a job was cancelled.
+    /// Ignores the cancellation of jobs.
     IgnoreCancel,
-    /// Grants half of what was declared.
-    Skimp,
-    /// Starts only a part of a gang.
+    /// Grants half of the declared memory.
+    Undergrant,
+    /// Makes only the first start of each decision, which splits gangs.
     PartOfGang,
     /// Never starts anything.
     Idle,
 }
 
-/// First fit with one fault.
+/// The first-fit placer with one fault added.
 struct Faulty {
     inner: FirstFit,
     fault: Fault,
@@ -99,7 +100,7 @@
                 let again: Vec<Decision> = again.collect();
                 starts.extend(again);
             }
-            Fault::Skimp => {
+            Fault::Undergrant => {
                 for decision in &mut starts {
                     if let Decision::Start { granted, .. } = decision {
                         granted.memory_mb /= 2;
@@ -118,20 +119,20 @@
     }
 }
 
-// A placer with one fault is driven through a small trace. The replay has to say what went
-// wrong and name the line of the trace it happened at; a check that stays quiet proves nothing.
+// Guards against checks that never fail. A placer with one fault is run on a small trace; the replay
+// has to report the violation with the trace line at which it occurs.
 #[rstest]
 #[case(Fault::Double, 4, "was started while it was not waiting")]
 #[case(Fault::Overfill, 6, "overfilled w1")]
 #[case(Fault::IgnoreDrain, 9, "on draining w1")]
 #[case(Fault::IgnoreCancel, 7, "after its job was closed")]
-#[case(Fault::Skimp, 4, "granted less than it declared")]
+#[case(Fault::Undergrant, 4, "granted less than it declared")]
 #[case(Fault::PartOfGang, 4, "gang sew-1 runs 1 tasks while 1 wait")]
 #[case(Fault::Idle, 0, "did not end")]
-fn a_fault_is_told_with_the_line_it_shows_at(
+fn a_fault_is_reported_with_its_trace_line(
     #[case] fault: Fault,
     #[case] line: usize,
-    #[case] told: &str,
+    #[case] expected: &str,
 ) {
     let trace = replay::read("small", SMALL.as_bytes()).unwrap();
     let make = || Faulty {
@@ -140,11 +141,11 @@
     };
     let got = replay::run(&trace, make).unwrap();
     let missed = Outcome::default().missed(&got);
-    assert!(missed.iter().any(|m| m.contains(told)), "{missed:#?}");
-    let first = got.violations.iter().find(|v| v.what.contains(told));
+    assert!(missed.iter().any(|m| m.contains(expected)), "{missed:#?}");
+    let first = got.violations.iter().find(|v| v.what.contains(expected));
     assert_eq!(first.map_or(0, |v| v.line), line, "{missed:#?}");
-    let sound = replay::run(&trace, || Scheduler::new(1)).unwrap();
-    assert_eq!(Outcome::default().missed(&sound), Vec::<String>::new());
+    let valid = replay::run(&trace, || Scheduler::new(1)).unwrap();
+    assert_eq!(Outcome::default().missed(&valid), Vec::<String>::new());
 }
 
 const SMALL: &str = r#"{"format":1,"trace":"small","seed":1,"until_ms":60000,"waiting_weight":50,"kinds":{"plan":{"team":"t","need":{"millicores":4000,"memory_mb":4000,"accelerators":0},"run_ms":5000,"idempotent":true},"sew":{"team":"t","class":"Gang","need":{"millicores":3000,"memory_mb":1000,"accelerators":0},"run_ms":2000,"idempotent":true}}}
@@ -159,7 +160,7 @@
 "#;
 
 #[test]
-fn a_trace_reads_as_it_was_written() {
+fn a_written_trace_reads_back_equal() {
     for (name, _) in replay::NAMES {
         let trace = replay::generate(name, 7).unwrap();
         assert_eq!(trace, replay::generate(name, 7).unwrap());
@@ -179,7 +180,10 @@
     "line 1: format 1"
 )]
 #[case("{\"at_ms\":1}", "line 11:")]
-#[case("{\"at_ms\":1,\"cancel\":\"x\"}", "line 11: the time goes back")]
+#[case(
+    "{\"at_ms\":1,\"cancel\":\"x\"}",
+    "line 11: at_ms is less than in the line before"
+)]
 #[case(
     "{\"at_ms\":30000,\"job\":{\"name\":\"a\",\"kind\":\"no\"}}",
     "line 11: kind no is not"
@@ -188,21 +192,21 @@
     "{\"at_ms\":30000,\"job\":{\"name\":\"a\",\"kind\":\"plan\",\"tasks\":2000000}}",
     "line 11: a trace has at most 1000000 tasks"
 )]
-fn a_trace_that_cannot_be_read_is_refused_by_line(#[case] last: &str, #[case] told: &str) {
-    let whole = if told.starts_with("line 1:") {
+fn a_bad_trace_is_refused_with_the_line_number(#[case] last: &str, #[case] expected: &str) {
+    let whole = if expected.starts_with("line 1:") {
         last.to_owned()
     } else {
         format!("{SMALL}{last}\n")
     };
     // The small trace has nine lines; the header is the first.
-    let told = told.replace("line 11", "line 10");
+    let expected = expected.replace("line 11", "line 10");
     let error = replay::read("bad", whole.as_bytes())
         .unwrap_err()
         .to_string();
-    assert!(error.contains(&told), "{error}");
+    assert!(error.contains(&expected), "{error}");
 }
 
-// An outcome that nothing can meet has to fail the command, with the figures in the table.
+// An outcome that no placer can meet has to fail the command, with the measured values in the table.
 #[test]
 fn the_command_fails_when_an_outcome_is_missed() {
     let folder = std::env::temp_dir().join(format!("yuccahold-replay-{}", std::process::id()));
@@ -233,7 +237,7 @@
 }
 
 #[test]
-fn the_trace_holds_what_the_generator_is_asked_for() {
+fn the_large_trace_has_the_designed_size() {
     let trace = replay::generate("large", 1).unwrap();
     let workers = trace
         .lines
