--- a/src/replay/command.rs
+++ b/src/replay/command.rs
@@ -1,4 +1,4 @@
-//! The replay command, without its argument parsing.
+//! Implementation of the `replay` command; its arguments are parsed elsewhere.
 
 use std::fs::File;
 use std::io::{BufReader, BufWriter, Write};
@@ -12,35 +12,36 @@
 use crate::exit_codes::ExitCode;
 use crate::placement::{FirstFit, RandomOfK, Scheduler};
 
-/// Workers that the random baseline draws for one task.
-const DRAWN: usize = 2;
-/// Times it draws again.
-const REDRAWN: usize = 8;
+/// Number of workers that the random baseline samples for a task.
+const RANDOM_CANDIDATES: usize = 2;
+/// Number of times the random baseline samples again.
+const RANDOM_RETRIES: usize = 8;
 
-/// What to replay.
+/// Arguments of the `replay` command.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayArgs {
-    /// Trace files; the outcome is read from the same name with `.yaml`, where there is one.
+    /// Trace files. The required outcome is read from the file of the same name with the extension
+    /// `.yaml`, if it exists.
     pub traces: Vec<PathBuf>,
-    /// Names of traces to generate; `all` for every one.
+    /// Names of traces to generate; `all` selects every one.
     pub generate: Vec<String>,
-    /// Seed of generated traces and of the scheduler.
+    /// Seed of generated traces, of the scheduler and of the random baseline.
     pub seed: u64,
-    /// Write generated traces into this folder instead of replaying them.
+    /// Folder into which generated traces are written instead of being replayed.
     pub write: Option<PathBuf>,
-    /// Also replay with the baselines.
+    /// Whether to replay with the baseline placers as well.
     pub baselines: bool,
-    /// Replay with this weight of short waiting instead of the trace's own.
+    /// Weight of short waiting against tight packing; replaces the one in the trace header.
     pub waiting_weight: Option<u32>,
-    /// Write an HTML page with plots here.
+    /// File for the HTML report with plots.
     pub html: Option<PathBuf>,
 }
 
-/// Replays traces, prints a table, and says by the exit code whether every stated outcome was
-/// met by the scheduler. Baselines are shown beside it and fail nothing.
+/// Replays traces and prints a table of the results. Returns `ExitCode::OutcomeMissed` if the
+/// scheduler missed a required outcome; the results of the baselines do not affect the exit code.
 pub fn command(args: &ReplayArgs, mut output: impl Write) -> Result<ExitCode> {
     let mut rows = Vec::new();
-    for name in names(&args.generate) {
+    for name in expand_names(&args.generate) {
         let trace = scenarios::generate(name, args.seed)?;
         match &args.write {
             Some(folder) => write_trace(folder, name, &trace)?,
@@ -60,7 +61,7 @@
     }
     if let Some(path) = &args.html {
         let page = report::to_html(&rows)?;
-        std::fs::write(path, page).map_err(|e| at(path, "writing the report", e))?;
+        std::fs::write(path, page).map_err(|e| file_error(path, "writing the report", e))?;
     }
     let missed = rows
         .iter()
@@ -74,8 +75,8 @@
 
 const SCHEDULER: &str = "scheduler";
 
-fn names(wanted: &[String]) -> impl Iterator<Item = &str> {
-    wanted.iter().flat_map(|name| {
+fn expand_names(requested: &[String]) -> impl Iterator<Item = &str> {
+    requested.iter().flat_map(|name| {
         let all = scenarios::NAMES.iter().map(|(known, _)| *known);
         let one = (name != "all").then_some(name.as_str());
         one.into_iter().chain(all.filter(move |_| name == "all"))
@@ -91,7 +92,7 @@
     if let Some(weight) = args.waiting_weight {
         trace.header.waiting_weight = weight;
     }
-    // A generated trace has no stated outcome; what must always hold is checked all the same.
+    // Without a required outcome, as for generated traces, only the invariants are checked.
     let outcome = outcome.unwrap_or_else(Outcome::unbounded);
     let mut add = |placer, measured| {
         let missed = Some(outcome.missed(&measured));
@@ -107,24 +108,24 @@
     );
     if args.baselines {
         add("first-fit", engine::run(&trace, FirstFit::new)?);
-        let random = || RandomOfK::new(args.seed, DRAWN, REDRAWN);
+        let random = || RandomOfK::new(args.seed, RANDOM_CANDIDATES, RANDOM_RETRIES);
         add("random-of-2", engine::run(&trace, random)?);
     }
     Ok(())
 }
 
-fn at(path: &Path, what: &str, e: impl std::error::Error + Send + Sync + 'static) -> Error {
+fn file_error(path: &Path, what: &str, e: impl std::error::Error + Send + Sync + 'static) -> Error {
     Error::caused(Step::Replay, what, e).with_peer(path.display())
 }
 
 fn read_trace(path: &Path) -> Result<Trace> {
-    let file = File::open(path).map_err(|e| at(path, "opening the trace", e))?;
+    let file = File::open(path).map_err(|e| file_error(path, "opening the trace", e))?;
     trace::read(&path.display().to_string(), BufReader::new(file))
 }
 
 fn write_trace(folder: &Path, name: &str, trace: &Trace) -> Result<()> {
     let path = folder.join(format!("{name}.jsonl"));
-    let file = File::create(&path).map_err(|e| at(&path, "creating the trace", e))?;
+    let file = File::create(&path).map_err(|e| file_error(&path, "creating the trace", e))?;
     trace::write(trace, BufWriter::new(file))
 }
 
@@ -133,7 +134,7 @@
     let text = match std::fs::read_to_string(&path) {
         Ok(text) => text,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-        Err(e) => return Err(at(&path, "reading the outcome", e)),
+        Err(e) => return Err(file_error(&path, "reading the outcome", e)),
     };
     let name = path.display().to_string();
     let outcome = Outcome::read(&name, &text);
