--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -13,8 +13,8 @@
 
 /// Mean service time assumed before the first successful response.
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(20);
-/// A request is forwarded to a peer's queue only if the wait there is below this percentage of the
-/// wait here.
+/// A request is forwarded to a peer's queue only if the queue there, relative to its slots, is
+/// below this percentage of the queue here.
 const PEER_WAIT_PERCENT: u64 = 50;
 /// Fraction of the mean service time, as a divisor, added to it as a margin in deadline checks.
 const SERVICE_MARGIN_DIVISOR: u32 = 10;
