--- a/src/stand_in/ledger.rs
+++ b/src/stand_in/ledger.rs
@@ -1,4 +1,5 @@
-//! What stand-in workers ran, in one book for all of them: starts, ends, doubles, overfill.
+//! Records the runs of all stand-in workers of a process, to detect tasks that ran twice at the
+//! same time and workers that were given more than their capacity.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,65 +11,68 @@
 
 use super::worker_state::RunEvent;
 
-/// Shared book of every run of every stand-in worker of this process.
+/// Record of every run of the stand-in workers of this process.
 pub struct Ledger {
     epoch: Instant,
-    book: Mutex<Book>,
+    state: Mutex<LedgerState>,
 }
 
 #[derive(Default)]
-struct Book {
-    tasks: BTreeMap<TaskId, Vec<Interval>>,
-    workers: BTreeMap<WorkerId, Resources>,
+struct LedgerState {
+    intervals: BTreeMap<TaskId, Vec<Interval>>,
+    /// Sum of the needs of the runs open on each worker.
+    used: BTreeMap<WorkerId, Resources>,
     highest: BTreeMap<WorkerId, Resources>,
     overfills: Vec<Overfill>,
 }
 
+/// One run: when it started and how it ended.
 struct Interval {
     attempt: Attempt,
     worker: WorkerId,
     need: Resources,
+    /// No other run of the task may overlap this one.
     exclusive: bool,
     started: Timestamp,
     ended: Option<(Timestamp, RunEnd)>,
 }
 
-/// A task that ran in two places at once.
+/// Two overlapping runs of an exclusive task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Double {
-    /// The task.
+    /// Task that both runs belong to.
     pub task: TaskId,
-    /// Attempt and place of the run that began first.
+    /// Attempt and worker of the run that started first.
     pub first: (Attempt, WorkerId),
-    /// Attempt and place of the run that began while the first still ran.
+    /// Attempt and worker of the run that started before the first one ended.
     pub second: (Attempt, WorkerId),
 }
 
-/// A worker that was made to run more than it holds.
+/// A start that pushed the use of a worker above its capacity.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Overfill {
-    /// The worker.
+    /// Worker on which the run started.
     pub worker: WorkerId,
-    /// What its runs were granted together.
+    /// Sum of the needs of its runs, the new one included.
     pub used: Resources,
-    /// What it holds.
+    /// Capacity that the worker announces.
     pub capacity: Resources,
 }
 
-/// What happened so far.
+/// Snapshot of the ledger's counts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LedgerCounts {
-    /// Starts of each task.
+    /// Number of starts of each task.
     pub starts: BTreeMap<TaskId, u32>,
-    /// Runs of each task that finished their work.
+    /// Number of runs of each task that ended with `RunEnd::Done`.
     pub done: BTreeMap<TaskId, u32>,
-    /// Most that was granted on each worker at one time.
+    /// Highest use of each worker; each resource has its own maximum.
     pub highest: BTreeMap<WorkerId, Resources>,
-    /// Exclusive tasks that ran in two places at once.
+    /// Pairs of overlapping runs of exclusive tasks.
     pub doubles: Vec<Double>,
-    /// Workers that were overfilled.
+    /// Starts that exceeded a worker's capacity.
     pub overfills: Vec<Overfill>,
-    /// Runs that go on.
+    /// Number of runs that have not ended.
     pub running: usize,
 }
 
@@ -76,49 +80,50 @@
     fn default() -> Self {
         Self {
             epoch: Instant::now(),
-            book: Mutex::default(),
+            state: Mutex::default(),
         }
     }
 }
 
 impl Ledger {
-    /// Time since the ledger was made; the clock of every worker that shares it.
+    /// Time since the ledger was created. All workers that share the ledger use it as their
+    /// clock, so their intervals can be compared.
     pub fn now(&self) -> Timestamp {
         self.epoch.elapsed()
     }
 
-    /// Takes in what happened on a worker.
+    /// Records starts and ends of runs on a worker.
     pub fn record(&self, worker: &WorkerSpec, events: impl IntoIterator<Item = RunEvent>) {
-        let mut book = self.book();
+        let mut state = self.lock();
         for event in events {
-            book.record(worker, event);
+            state.record(worker, event);
         }
     }
 
-    /// Takes in that a worker died: its runs ended with it.
+    /// Ends all open runs of a worker that died: no run outlives its worker.
     pub fn worker_died(&self, worker: &WorkerSpec) {
         let at = self.now();
-        let mut book = self.book();
-        for interval in book.tasks.values_mut().flatten() {
+        let mut state = self.lock();
+        for interval in state.intervals.values_mut().flatten() {
             if interval.worker == worker.id && interval.ended.is_none() {
                 interval.ended = Some((at, RunEnd::Stopped));
             }
         }
-        book.workers.remove(&worker.id);
+        state.used.remove(&worker.id);
     }
 
-    /// Gives what happened so far. Doubles are found from the intervals of all runs, so the
-    /// order in which workers report here does not matter.
+    /// Returns the counts so far. Doubles are computed from the intervals of all runs, so the
+    /// order in which workers record their events does not matter.
     pub fn counts(&self) -> LedgerCounts {
-        self.book().counts()
+        self.lock().counts()
     }
 
-    fn book(&self) -> MutexGuard<'_, Book> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, LedgerState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Book {
+impl LedgerState {
     fn record(&mut self, worker: &WorkerSpec, event: RunEvent) {
         match event {
             RunEvent::Started {
@@ -135,11 +140,11 @@
                     started: at,
                     ended: None,
                 };
-                self.tasks.entry(run.task).or_default().push(interval);
-                self.grow(worker, need);
+                self.intervals.entry(run.task).or_default().push(interval);
+                self.add_use(worker, need);
             }
             RunEvent::Ended { run, end, at } => {
-                let intervals = self.tasks.entry(run.task).or_default();
+                let intervals = self.intervals.entry(run.task).or_default();
                 let open = intervals.iter_mut().find(|interval| {
                     interval.ended.is_none()
                         && interval.attempt == run.attempt
@@ -148,14 +153,14 @@
                 if let Some(interval) = open {
                     interval.ended = Some((at, end));
                     let need = interval.need;
-                    self.shrink(worker, need);
+                    self.remove_use(worker, need);
                 }
             }
         }
     }
 
-    fn grow(&mut self, worker: &WorkerSpec, need: Resources) {
-        let used = self.workers.entry(worker.id.clone()).or_default();
+    fn add_use(&mut self, worker: &WorkerSpec, need: Resources) {
+        let used = self.used.entry(worker.id.clone()).or_default();
         *used = used.checked_add(&need).unwrap_or(*used);
         let used = *used;
         let highest = self.highest.entry(worker.id.clone()).or_default();
@@ -171,8 +176,8 @@
         }
     }
 
-    fn shrink(&mut self, worker: &WorkerSpec, need: Resources) {
-        let used = self.workers.entry(worker.id.clone()).or_default();
+    fn remove_use(&mut self, worker: &WorkerSpec, need: Resources) {
+        let used = self.used.entry(worker.id.clone()).or_default();
         *used = used.checked_sub(&need).unwrap_or_default();
     }
 
@@ -182,12 +187,12 @@
             overfills: self.overfills.clone(),
             ..LedgerCounts::default()
         };
-        for (task, intervals) in &self.tasks {
+        for (task, intervals) in &self.intervals {
             counts.starts.insert(task.clone(), intervals.len() as u32);
             let done = intervals.iter().filter(|interval| interval.is_done());
             counts.done.insert(task.clone(), done.count() as u32);
             counts.running += intervals.iter().filter(|i| i.ended.is_none()).count();
-            counts.doubles.extend(overlaps(task, intervals));
+            counts.doubles.extend(find_doubles(task, intervals));
         }
         counts
     }
@@ -198,16 +203,18 @@
         matches!(self.ended, Some((_, RunEnd::Done)))
     }
 
+    /// Whether this run had not ended when `later` started.
     fn overlaps(&self, later: &Self) -> bool {
         self.ended.is_none_or(|(at, _)| at > later.started)
     }
 
-    fn place(&self) -> (Attempt, WorkerId) {
+    fn attempt_and_worker(&self) -> (Attempt, WorkerId) {
         (self.attempt, self.worker.clone())
     }
 }
 
-fn overlaps(task: &TaskId, intervals: &[Interval]) -> Vec<Double> {
+/// Pairs of exclusive runs of one task that overlap, ordered by the start of the later one.
+fn find_doubles(task: &TaskId, intervals: &[Interval]) -> Vec<Double> {
     let mut sorted: Vec<_> = intervals.iter().filter(|i| i.exclusive).collect();
     sorted.sort_by_key(|interval| interval.started);
     let mut doubles = Vec::new();
@@ -215,8 +222,8 @@
         let earlier = sorted[..n].iter().filter(|first| first.overlaps(second));
         doubles.extend(earlier.map(|first| Double {
             task: task.clone(),
-            first: first.place(),
-            second: second.place(),
+            first: first.attempt_and_worker(),
+            second: second.attempt_and_worker(),
         }));
     }
     doubles
--- a/src/stand_in/minion.rs
+++ b/src/stand_in/minion.rs
@@ -1,5 +1,5 @@
-//! A stand-in minion: announces itself, answers requests after a service time, and counts what
-//! ran.
+//! A stand-in minion: announces itself to entry hosts, answers each request after a service time
+//! and counts requests and connections.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -18,41 +18,42 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use super::minion_state::{MinionBehaviour, MinionCounts, MinionState, Plan};
+use super::minion_state::{MinionBehaviour, MinionCounts, MinionState, RequestPlan};
 use crate::error::{Error, Result, Step};
 use crate::ids::{MinionId, ProcessId, ServiceName, ZoneName};
 
-/// Time for one announcement.
+/// Request timeout of one announcement.
 const ANNOUNCE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after an announcement that failed.
+/// Pause after a failed announcement.
 const ANNOUNCE_RETRY: Duration = Duration::from_millis(100);
-/// Announcements in the time one holds.
+/// Announcements sent per time to live, so that one lost announcement does not expire the minion.
 const ANNOUNCEMENTS_PER_TTL: u32 = 3;
 
-/// What a stand-in minion is and how it behaves.
+/// Configuration of a stand-in minion.
 #[derive(Clone, Debug)]
 pub struct MinionOptions {
-    /// Its name.
+    /// Identifier under which the minion announces itself.
     pub id: MinionId,
-    /// Service it answers.
+    /// Service whose requests it handles.
     pub service: ServiceName,
-    /// Availability zone.
+    /// Availability zone it announces.
     pub zone: ZoneName,
-    /// Where it listens; port 0 for a free one.
+    /// Address to listen on; port 0 picks a free port.
     pub listen: SocketAddr,
-    /// Address it announces instead of its own, such as a proxy's.
+    /// Address to announce instead of the listening one, for example that of a proxy.
     pub advertise: Option<SocketAddr>,
-    /// Requests it works on at once.
+    /// Number of concurrent requests it announces; the minion itself does not enforce it.
     pub slots: u32,
-    /// Connections it accepts.
+    /// Number of connections it announces; the minion itself does not enforce it.
     pub connections: u32,
-    /// HTTP addresses of entry hosts; a failed announcement goes to the next one.
+    /// HTTP addresses of entry hosts. A failed announcement is retried at the next one; with an
+    /// empty list the minion does not announce itself.
     pub entries: Vec<SocketAddr>,
-    /// Time an announcement holds.
+    /// Time to live of an announcement.
     pub ttl: Duration,
-    /// Seed of its random behaviour.
+    /// Seed of the random choices of `behaviour`.
     pub seed: u64,
-    /// How it works.
+    /// Service times, failures and answer sizes.
     pub behaviour: MinionBehaviour,
 }
 
@@ -92,13 +93,14 @@
 }
 
 #[derive(Serialize)]
-struct Worked<'a> {
+struct WorkReply<'a> {
     key: &'a str,
     minion: &'a str,
     padding: String,
 }
 
-/// A running stand-in minion. Dropping it kills the minion: its connections close at once.
+/// A running stand-in minion. Dropping it simulates a crash: connections close at once and no
+/// departure is announced.
 pub struct MinionHandle {
     addr: SocketAddr,
     process: ProcessId,
@@ -106,51 +108,52 @@
     slots: watch::Sender<u32>,
     leaving: CancellationToken,
     killed: CancellationToken,
-    announcing: JoinHandle<()>,
+    announce_task: JoinHandle<()>,
 }
 
 impl MinionHandle {
-    /// Where it takes requests.
+    /// Address it listens on, also when it announces another.
     pub const fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Number of its process.
+    /// Random process id, part of each announcement.
     pub const fn process(&self) -> ProcessId {
         self.process
     }
 
-    /// What happened so far.
+    /// Counts since the start.
     pub fn counts(&self) -> MinionCounts {
         self.state.counts()
     }
 
-    /// Changes how it works, from the next request on.
+    /// Replaces the behaviour, starting with the next request.
     pub fn set_behaviour(&self, behaviour: MinionBehaviour) {
         self.state.set_behaviour(behaviour);
     }
 
-    /// Announces another size from now on.
+    /// Changes the number of slots and announces it at once.
     pub fn resize(&self, slots: u32) {
         self.slots.send_replace(slots);
     }
 
-    /// Leaves as planned: says so and announces no more, but finishes what it has.
+    /// Leaves gracefully: deletes the announcement and sends no more of them. The minion still
+    /// answers requests until the handle is dropped.
     pub async fn leave(mut self) -> Self {
         self.leaving.cancel();
-        let _ = (&mut self.announcing).await;
+        let _ = (&mut self.announce_task).await;
         self
     }
 }
 
 impl Drop for MinionHandle {
     fn drop(&mut self) {
-        self.announcing.abort();
+        self.announce_task.abort();
         self.killed.cancel();
     }
 }
 
-/// Starts a minion on the current runtime.
+/// Starts a minion on the current Tokio runtime.
 pub async fn start_minion(options: MinionOptions) -> Result<MinionHandle> {
     let failed = |e| Error::caused(Step::Listen, "starting a stand-in minion", e);
     let listener = TcpListener::bind(options.listen).await.map_err(failed)?;
@@ -158,12 +161,12 @@
     let process = rand::random();
     let state = MinionState::new(options.behaviour.clone(), options.seed);
     let state = Arc::new(state);
-    let (slots, sizes) = watch::channel(options.slots);
+    let (slots, slots_rx) = watch::channel(options.slots);
     let (leaving, killed) = (CancellationToken::new(), CancellationToken::new());
     let server = Server {
         id: options.id.clone(),
         state: state.clone(),
-        sizes: sizes.clone(),
+        slots_rx: slots_rx.clone(),
         killed: killed.clone(),
     };
     tokio::spawn(server.accept_all(listener));
@@ -171,13 +174,13 @@
         .no_proxy()
         .timeout(ANNOUNCE_TIMEOUT)
         .build();
-    let client = client.map_err(|e| Error::caused(Step::Connect, "making a client", e))?;
+    let client = client.map_err(|e| Error::caused(Step::Connect, "creating an HTTP client", e))?;
     let announcer = Announcer {
         addr: options.advertise.unwrap_or(addr),
         options,
         process,
         client,
-        sizes,
+        slots_rx,
         leaving: leaving.clone(),
         entry: 0,
     };
@@ -188,7 +191,7 @@
         slots,
         leaving,
         killed,
-        announcing: tokio::spawn(announcer.run()),
+        announce_task: tokio::spawn(announcer.run()),
     })
 }
 
@@ -196,7 +199,7 @@
 struct Server {
     id: MinionId,
     state: Arc<MinionState>,
-    sizes: watch::Receiver<u32>,
+    slots_rx: watch::Receiver<u32>,
     killed: CancellationToken,
 }
 
@@ -215,7 +218,7 @@
 
     async fn serve(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let _connection = self.state.connected();
+        let _connection = self.state.track_connection();
         let killed = self.killed.clone();
         let answer = service_fn(|req| self.answer(req));
         let builder = hyper::server::conn::http1::Builder::new();
@@ -229,7 +232,7 @@
     async fn answer(&self, req: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
         let reply = match (req.method(), req.uri().path()) {
             (&Method::GET, "/slots") if self.state.reports_slots() => json(&Slots {
-                slots: *self.sizes.borrow(),
+                slots: *self.slots_rx.borrow(),
                 in_use: self.state.in_work(),
             }),
             (&Method::GET, "/slots") => plain(StatusCode::NOT_FOUND, "no such page"),
@@ -241,25 +244,29 @@
 
     async fn work(&self, req: Request<Incoming>) -> Response<Full<Bytes>> {
         let (head, body) = req.into_parts();
-        let key = key_of(&head.headers, &head.uri);
-        let epoch = number(&head.headers, "yuccahold-epoch");
+        let key = request_key(&head.headers, &head.uri);
+        let epoch = parse_header(&head.headers, "yuccahold-epoch");
         if !self.state.accepts_epoch(epoch) {
-            let mut reply = plain(StatusCode::CONFLICT, "an older owner's request");
+            let mut reply = plain(
+                StatusCode::CONFLICT,
+                "the request comes from a previous owner",
+            );
             let not_run = http::HeaderValue::from_static("not-run");
             reply.headers_mut().insert("yuccahold-outcome", not_run);
             return reply;
         }
         if body.collect().await.is_err() {
-            return plain(StatusCode::BAD_REQUEST, "the body was cut");
+            return plain(StatusCode::BAD_REQUEST, "the request body ended early");
         }
-        let plan = self.state.begin(&key, epoch);
-        let Plan {
+        let plan = self.state.begin_request(&key, epoch);
+        let RequestPlan {
             work,
             time,
             status,
             answer_bytes,
         } = plan;
-        // The work goes on when the connection closes, as in a server that notices too late.
+        // A separate task, so that the work continues after the connection closes, as in a server
+        // that does not detect the disconnect.
         let killed = self.killed.clone();
         let working = tokio::spawn(async move {
             tokio::select! {
@@ -269,7 +276,7 @@
             drop(work);
         });
         let _ = working.await;
-        let mut reply = json(&Worked {
+        let mut reply = json(&WorkReply {
             key: &key,
             minion: &self.id,
             padding: "x".repeat(answer_bytes),
@@ -284,14 +291,14 @@
     }
 }
 
-/// The key under which work is counted: the caller's, or else the path with its query.
-fn key_of(headers: &HeaderMap, uri: &http::Uri) -> String {
+/// Key under which a request is counted: its idempotency key, or else its path and query.
+fn request_key(headers: &HeaderMap, uri: &http::Uri) -> String {
     let key = headers.get("idempotency-key").and_then(|v| v.to_str().ok());
     let path = uri.path_and_query().map_or("", |p| p.as_str());
     key.unwrap_or(path).to_owned()
 }
 
-fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
+fn parse_header(headers: &HeaderMap, name: &str) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
@@ -314,7 +321,7 @@
     addr: SocketAddr,
     process: ProcessId,
     client: reqwest::Client,
-    sizes: watch::Receiver<u32>,
+    slots_rx: watch::Receiver<u32>,
     leaving: CancellationToken,
     entry: usize,
 }
@@ -335,8 +342,8 @@
             let leaving = self.leaving.clone();
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
-                _ = self.sizes.changed() => {}
-                () = leaving.cancelled() => return self.say_leaving().await,
+                _ = self.slots_rx.changed() => {}
+                () = leaving.cancelled() => return self.announce_leave().await,
             }
         }
     }
@@ -347,7 +354,7 @@
     }
 
     async fn announce(&mut self) -> bool {
-        let slots = *self.sizes.borrow_and_update();
+        let slots = *self.slots_rx.borrow_and_update();
         let announcement = Announcement {
             service: &self.options.service,
             addr: self.addr,
@@ -361,7 +368,8 @@
         sent.is_ok_and(|answer| answer.status().is_success())
     }
 
-    async fn say_leaving(mut self) {
+    /// Deletes the announcement, with up to three attempts per entry host.
+    async fn announce_leave(mut self) {
         for _ in 0..self.options.entries.len() * 3 {
             let sent = self.client.delete(self.url()).send().await;
             if sent.is_ok_and(|answer| answer.status().is_success()) {
--- a/src/stand_in/minion_state.rs
+++ b/src/stand_in/minion_state.rs
@@ -1,4 +1,4 @@
-//! What a stand-in minion has in work and what it has run.
+//! Counters and simulated behaviour of a stand-in minion.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,24 +9,24 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// How a stand-in minion works.
+/// How a stand-in minion handles requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MinionBehaviour {
-    /// Least service time.
+    /// Minimum service time.
     pub service_time: Duration,
-    /// Greatest random addition.
+    /// Maximum random time added to `service_time`.
     pub jitter: Duration,
-    /// Share of requests answered with status 500, in percent.
+    /// Percentage of requests answered with status 500.
     pub fail_percent: u8,
-    /// Share of requests that take `hang` instead of the service time, in percent.
+    /// Percentage of requests that take `hang` instead of the service time.
     pub hang_percent: u8,
     /// Service time of a request that hangs.
     pub hang: Duration,
-    /// Bytes added to each answer.
+    /// Size in bytes of the padding in each answer.
     pub answer_bytes: usize,
-    /// Whether `GET /slots` tells what is in work.
+    /// Whether `GET /slots` reports the slots in use; otherwise it answers 404.
     pub reports_slots: bool,
-    /// Whether requests of an older owner than one seen are refused.
+    /// Whether to refuse requests with an epoch older than the newest one received.
     pub fences: bool,
 }
 
@@ -45,31 +45,31 @@
     }
 }
 
-/// What a stand-in minion counted.
+/// Counters of a stand-in minion.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MinionCounts {
-    /// Requests begun, by key.
+    /// Requests begun, by idempotency key or path.
     pub by_key: BTreeMap<String, u32>,
-    /// Requests begun.
+    /// Requests begun, without the fenced ones.
     pub begun: u64,
-    /// Requests in work now.
+    /// Requests in progress.
     pub in_work: u32,
-    /// The same by the epoch of the owner that sent them; 0 for those without one.
+    /// Requests in progress, by the epoch of the owner that sent them; 0 for none.
     pub in_work_by_epoch: BTreeMap<u64, u32>,
-    /// Most requests in work at once.
+    /// Highest value of `in_work`.
     pub highest_in_work: u32,
-    /// What they were by epoch when they first were so many.
+    /// `in_work_by_epoch` at the moment `highest_in_work` was reached.
     pub highest_by_epoch: BTreeMap<u64, u32>,
-    /// Connections open now.
+    /// Open connections.
     pub connections: u32,
-    /// Most connections open at once.
+    /// Highest value of `connections`.
     pub highest_connections: u32,
-    /// Requests of an older owner refused.
+    /// Requests refused because of an older epoch.
     pub fenced: u64,
 }
 
 impl MinionCounts {
-    /// Keys that ran more than once.
+    /// Keys with more than one request begun.
     pub fn doubled(&self) -> Vec<&str> {
         let doubled = self.by_key.iter().filter(|(_, n)| **n > 1);
         doubled.map(|(key, _)| key.as_str()).collect()
@@ -88,23 +88,23 @@
     inner: Arc<Mutex<Inner>>,
 }
 
-/// How one request is worked on.
-pub(super) struct Plan {
-    pub(super) work: Counted,
+/// Simulated handling of one request.
+pub(super) struct RequestPlan {
+    pub(super) work: CountGuard,
     pub(super) time: Duration,
     pub(super) status: StatusCode,
     pub(super) answer_bytes: usize,
 }
 
-/// One request in work or one open connection, until it is dropped.
-pub(super) struct Counted {
+/// Counts one request in progress or one open connection until dropped.
+pub(super) struct CountGuard {
     inner: Arc<Mutex<Inner>>,
     count: fn(&mut MinionCounts) -> &mut u32,
-    /// Epoch under which a request came.
+    /// Epoch of a request; absent for a connection.
     epoch: Option<u64>,
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         let mut inner = lock(&self.inner);
         *(self.count)(&mut inner.counts) -= 1;
@@ -145,7 +145,8 @@
         lock(&self.inner).behaviour.reports_slots
     }
 
-    /// Takes in the ownership a request came under; false when a newer one was seen.
+    /// Records the epoch of a request and returns whether to accept it. With `fences` set, an
+    /// epoch older than the newest one is refused.
     pub(super) fn accepts_epoch(&self, epoch: Option<u64>) -> bool {
         let mut inner = lock(&self.inner);
         let Some(epoch) = epoch else {
@@ -159,16 +160,16 @@
         true
     }
 
-    pub(super) fn connected(&self) -> Counted {
+    pub(super) fn track_connection(&self) -> CountGuard {
         let mut inner = lock(&self.inner);
         let counts = &mut inner.counts;
         counts.connections += 1;
         counts.highest_connections = counts.highest_connections.max(counts.connections);
-        self.counted(|counts| &mut counts.connections)
+        self.count_guard(|counts| &mut counts.connections)
     }
 
-    /// Begins one request.
-    pub(super) fn begin(&self, key: &str, epoch: Option<u64>) -> Plan {
+    /// Counts a request as begun and draws its service time and status.
+    pub(super) fn begin_request(&self, key: &str, epoch: Option<u64>) -> RequestPlan {
         let epoch = epoch.unwrap_or_default();
         let mut inner = lock(&self.inner);
         let counts = &mut inner.counts;
@@ -180,10 +181,10 @@
             counts.highest_in_work = counts.in_work;
             counts.highest_by_epoch = counts.in_work_by_epoch.clone();
         }
-        let (time, status) = inner.draw();
-        let mut work = self.counted(|counts| &mut counts.in_work);
+        let (time, status) = inner.draw_outcome();
+        let mut work = self.count_guard(|counts| &mut counts.in_work);
         work.epoch = Some(epoch);
-        Plan {
+        RequestPlan {
             work,
             time,
             status,
@@ -191,8 +192,8 @@
         }
     }
 
-    fn counted(&self, count: fn(&mut MinionCounts) -> &mut u32) -> Counted {
-        Counted {
+    fn count_guard(&self, count: fn(&mut MinionCounts) -> &mut u32) -> CountGuard {
+        CountGuard {
             inner: self.inner.clone(),
             count,
             epoch: None,
@@ -201,7 +202,7 @@
 }
 
 impl Inner {
-    fn draw(&mut self) -> (Duration, StatusCode) {
+    fn draw_outcome(&mut self) -> (Duration, StatusCode) {
         let behaviour = &self.behaviour;
         let hangs = self.rng.random_range(0..100) < behaviour.hang_percent;
         let fails = self.rng.random_range(0..100) < behaviour.fail_percent;
--- a/src/stand_in/mod.rs
+++ b/src/stand_in/mod.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for what the platform provides, for demonstrations, tests and load: they
-//! speak the real interfaces and count what happened.
+//! Simulated workers and minions for demonstrations, tests and load generation. They use the
+//! same HTTP interfaces as real ones and count the runs and requests they receive.
 
 mod ledger;
 mod minion;
--- a/src/stand_in/worker.rs
+++ b/src/stand_in/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in worker: polls entry hosts over HTTP and runs its tasks as timers.
+//! A stand-in worker: polls entry hosts over HTTP and simulates each run with a timer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,38 +16,38 @@
 use crate::wire::{WorkerPoll, WorkerTasks};
 use crate::workload::WorkerSpec;
 
-/// Longest a poll is held back while nothing is known of the lease.
-const FIRST_WAIT: Duration = Duration::from_secs(1);
-/// Time in which ended runs are collected before a waiting poll is given up for a new one.
-const GATHER: Duration = Duration::from_millis(20);
-/// Time beyond the poll's wait after which its connection counts as silent.
-const SILENCE: Duration = Duration::from_millis(1500);
-/// Pause after a failed poll.
-const RETRY: Duration = Duration::from_millis(200);
+/// Maximum wait of a poll before the first answer gives the length of the lease.
+const INITIAL_WAIT: Duration = Duration::from_secs(1);
+/// Time to collect ended runs before the pending poll is abandoned for one that reports them.
+const ENDED_RUNS_DELAY: Duration = Duration::from_millis(20);
+/// Time past the wait of a poll after which it fails, as its connection no longer responds.
+const POLL_TIMEOUT_MARGIN: Duration = Duration::from_millis(1500);
+/// Pause after a failed poll or an answer without a lease.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What a stand-in worker is and how it behaves.
+/// Configuration of a stand-in worker.
 #[derive(Clone, Debug)]
 pub struct WorkerOptions {
-    /// The worker as it announces itself.
+    /// Identity, location and capacity to announce.
     pub spec: WorkerSpec,
-    /// HTTP addresses of entry hosts; a failed poll goes to the next one.
+    /// HTTP addresses of entry hosts, at least one. A failed poll is retried at the next one.
     pub entries: Vec<SocketAddr>,
-    /// Longest time a poll may be held back; never over a third of the lease.
+    /// Maximum wait of a poll; at most a third of the lease is used.
     pub wait: Duration,
-    /// How it departs from what is declared.
+    /// Deviations from the declared run time and use.
     pub behaviour: Behaviour,
 }
 
-/// What a worker is asked to do from outside.
+/// Settings that the handle can change while the worker runs.
 #[derive(Clone, Debug, PartialEq)]
-struct Wish {
+struct Settings {
     behaviour: Behaviour,
     leaving: bool,
 }
 
-/// A running stand-in worker. Dropping it kills the worker: nothing more is sent.
+/// A running stand-in worker. Dropping it simulates a crash: nothing more is sent.
 pub struct WorkerHandle {
-    wish: watch::Sender<Wish>,
+    settings: watch::Sender<Settings>,
     task: JoinHandle<()>,
     ledger: Arc<Ledger>,
     spec: WorkerSpec,
@@ -55,32 +55,35 @@
 }
 
 impl WorkerHandle {
-    /// Changes how the worker departs from what is declared, from the next start on.
+    /// Replaces the behaviour, starting with the next poll. Runs in progress keep their end time.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
-        self.wish.send_modify(|wish| wish.behaviour = behaviour);
+        self.settings
+            .send_modify(|settings| settings.behaviour = behaviour);
     }
 
-    /// The worker leaves as planned: it polls on until nothing runs and all is acknowledged.
+    /// Starts a graceful departure: the worker polls until nothing runs and control has
+    /// acknowledged all ended runs.
     pub fn leave(&self) {
-        self.wish.send_modify(|wish| wish.leaving = true);
+        self.settings
+            .send_modify(|settings| settings.leaving = true);
     }
 
-    /// Waits for a worker that leaves to be gone.
+    /// Waits until a departure that `leave` started is complete.
     pub async fn left(mut self) {
         let _ = (&mut self.task).await;
     }
 
-    /// Number of runs that go on.
+    /// Number of runs in progress.
     pub fn running(&self) -> usize {
         *self.running.borrow()
     }
 
-    /// The worker as it announces itself.
+    /// Identity, location and capacity that it announces.
     pub fn spec(&self) -> &WorkerSpec {
         &self.spec
     }
 
-    /// The book it writes to.
+    /// Ledger that records its runs.
     pub fn ledger(&self) -> &Arc<Ledger> {
         &self.ledger
     }
@@ -92,14 +95,14 @@
     }
 }
 
-/// Starts a worker on the current runtime. `client` is shared by many workers.
+/// Starts a worker on the current Tokio runtime. Many workers can share `client`.
 pub fn start_worker(
     options: WorkerOptions,
     client: reqwest::Client,
     ledger: Arc<Ledger>,
     log: &Logger,
 ) -> WorkerHandle {
-    let (wish, wishes) = watch::channel(Wish {
+    let (settings_tx, settings_rx) = watch::channel(Settings {
         behaviour: options.behaviour.clone(),
         leaving: false,
     });
@@ -112,15 +115,15 @@
         options,
         state,
         client,
-        book: Book(ledger.clone(), spec.clone()),
-        wishes,
+        ledger: LedgerGuard(ledger.clone(), spec.clone()),
+        settings_rx,
         running: running_tx,
         entry: 0,
-        wait: FIRST_WAIT.min(wait),
+        wait: INITIAL_WAIT.min(wait),
         log,
     };
     WorkerHandle {
-        wish,
+        settings: settings_tx,
         task: tokio::spawn(worker.run()),
         ledger,
         spec,
@@ -128,11 +131,11 @@
     }
 }
 
-/// The worker's page of the ledger. Dropped with the worker, however it ends: what a dead host
-/// ran has ended with it.
-struct Book(Arc<Ledger>, WorkerSpec);
+/// Ends the worker's open runs in the ledger when dropped. It belongs to the worker's task, so this
+/// also happens when the task is aborted: no run outlives its worker.
+struct LedgerGuard(Arc<Ledger>, WorkerSpec);
 
-impl Drop for Book {
+impl Drop for LedgerGuard {
     fn drop(&mut self) {
         self.0.worker_died(&self.1);
     }
@@ -142,45 +145,45 @@
     options: WorkerOptions,
     state: WorkerState,
     client: reqwest::Client,
-    book: Book,
-    wishes: watch::Receiver<Wish>,
+    ledger: LedgerGuard,
+    settings_rx: watch::Receiver<Settings>,
     running: watch::Sender<usize>,
     entry: usize,
     wait: Duration,
     log: Logger,
 }
 
-/// Why the wait for an answer ended.
+/// How a poll ended.
 enum Outcome {
     Answered(Box<WorkerTasks>),
     Failed(Error),
-    /// There is news that the poll under way does not carry.
-    News,
+    /// Runs ended or settings changed after the poll was sent, so a new one is needed.
+    Superseded,
 }
 
 impl Worker {
     async fn run(mut self) {
         loop {
-            let wish = self.wishes.borrow_and_update().clone();
-            self.state.set_behaviour(wish.behaviour);
+            let settings = self.settings_rx.borrow_and_update().clone();
+            self.state.set_behaviour(settings.behaviour);
             let sent = self.now();
-            let poll = self.state.poll(sent, self.wait, wish.leaving);
-            match self.exchange(&poll).await {
+            let poll = self.state.poll(sent, self.wait, settings.leaving);
+            match self.run_poll(&poll).await {
                 // Control grants no lease while another process of this worker may hold one.
                 Outcome::Answered(tasks) if tasks.lease.is_zero() => self.pause().await,
                 Outcome::Answered(tasks) => self.answered(sent, *tasks),
                 Outcome::Failed(e) => self.failed(&e).await,
-                Outcome::News => continue,
+                Outcome::Superseded => continue,
             }
             let idle = self.state.running() == 0 && self.state.unacknowledged() == 0;
-            if wish.leaving && idle {
+            if settings.leaving && idle {
                 return;
             }
         }
     }
 
     fn now(&self) -> Timestamp {
-        self.book.0.now()
+        self.ledger.0.now()
     }
 
     fn record(&mut self) {
@@ -188,18 +191,18 @@
         if events.is_empty() {
             return;
         }
-        self.book.0.record(&self.book.1, events);
+        self.ledger.0.record(&self.ledger.1, events);
         let running = self.state.running();
         self.running
-            .send_if_modified(|shown| std::mem::replace(shown, running) != running);
+            .send_if_modified(|published| std::mem::replace(published, running) != running);
     }
 
-    /// Sends a poll and keeps the timers of the runs going until there is an outcome.
-    async fn exchange(&mut self, poll: &WorkerPoll) -> Outcome {
+    /// Sends a poll and advances the timers of the runs until the poll ends.
+    async fn run_poll(&mut self, poll: &WorkerPoll) -> Outcome {
         let addr = self.options.entries[self.entry % self.options.entries.len()];
         let mut answer = std::pin::pin!(send(self.client.clone(), addr, poll.clone()));
         let mut resend: Option<Instant> = None;
-        let known = poll.ended.len();
+        let reported = poll.ended.len();
         loop {
             self.record();
             let due = self.state.next_due().map(|due| self.instant(due));
@@ -213,12 +216,12 @@
                 () = sleep_until(due) => {
                     let now = self.now();
                     self.state.advance(now);
-                    if self.state.unacknowledged() > known && resend.is_none() {
-                        resend = Some(Instant::now() + gather(poll));
+                    if self.state.unacknowledged() > reported && resend.is_none() {
+                        resend = Some(Instant::now() + resend_delay(poll));
                     }
                 }
-                () = sleep_until(resend) => return Outcome::News,
-                Ok(()) = self.wishes.changed() => return Outcome::News,
+                () = sleep_until(resend) => return Outcome::Superseded,
+                Ok(()) = self.settings_rx.changed() => return Outcome::Superseded,
             }
         }
     }
@@ -230,20 +233,20 @@
     fn answered(&mut self, sent: Timestamp, tasks: WorkerTasks) {
         self.wait = self.options.wait.min(tasks.lease / 3);
         let now = self.now();
-        self.state.answered(sent, now, tasks);
+        self.state.apply_answer(sent, now, tasks);
         self.record();
     }
 
-    /// Goes on to the next entry host after a pause.
+    /// Selects the next entry host and pauses.
     async fn failed(&mut self, e: &Error) {
         slog::debug!(self.log, "a poll failed"; "error" => %e);
         self.entry = self.entry.wrapping_add(1);
         self.pause().await;
     }
 
-    /// Waits before the next poll; the runs go on.
+    /// Waits before the next poll while the timers of the runs advance.
     async fn pause(&mut self) {
-        let until = Instant::now() + RETRY;
+        let until = Instant::now() + RETRY_DELAY;
         while Instant::now() < until {
             let due = self.state.next_due().map(|due| self.instant(due));
             sleep_until(Some(due.map_or(until, |due| due.min(until)))).await;
@@ -254,13 +257,14 @@
     }
 }
 
-/// A poll that carries ends is answered at once, so it is given up only when that takes long;
-/// giving each up for the next end would let none be answered.
-fn gather(poll: &WorkerPoll) -> Duration {
+/// Time after which a newly ended run supersedes the pending poll. Control answers a poll that
+/// carries ended runs at once, so such a poll gets longer: with many short runs, abandoning each
+/// poll for the next ended run would leave every poll unanswered.
+fn resend_delay(poll: &WorkerPoll) -> Duration {
     if poll.ended.is_empty() {
-        return GATHER;
+        return ENDED_RUNS_DELAY;
     }
-    SILENCE
+    POLL_TIMEOUT_MARGIN
 }
 
 async fn sleep_until(at: Option<Instant>) {
@@ -273,7 +277,10 @@
 async fn send(client: reqwest::Client, addr: SocketAddr, poll: WorkerPoll) -> Result<WorkerTasks> {
     let failed = |e| Error::caused(Step::Transfer, "polling an entry host", e).with_peer(addr);
     let url = format!("http://{addr}/v1/workers/{}/poll", poll.worker.id);
-    let req = client.post(url).json(&poll).timeout(poll.wait + SILENCE);
+    let req = client
+        .post(url)
+        .json(&poll)
+        .timeout(poll.wait + POLL_TIMEOUT_MARGIN);
     let answer = req.send().await.map_err(failed)?;
     let status = answer.status();
     if !status.is_success() {
--- a/src/stand_in/worker_state.rs
+++ b/src/stand_in/worker_state.rs
@@ -1,5 +1,5 @@
-//! A worker's runs and lease as a pure state machine: answers and the time go in, polls and
-//! run events come out.
+//! The runs and the lease of a stand-in worker, as a state machine without I/O: its inputs are
+//! answers and the current time, its outputs are polls and run events.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -9,22 +9,22 @@
 use crate::wire::{AssignedRun, EndedRun, RunUsage, StopKind, StopRun, WorkerPoll, WorkerTasks};
 use crate::workload::{RunEnd, TaskId, TaskRun, WorkerSpec};
 
-/// Tasks whose latest attempt is remembered; the oldest is forgotten first.
-const REMEMBERED_TASKS: usize = 65_536;
+/// Number of tasks whose latest attempt is kept; the task recorded first is evicted first.
+const MAX_TRACKED_TASKS: usize = 65_536;
 
-/// Polls after which the list of runs is sent although it did not change.
+/// Every how many polls the list of runs is sent even when it has not changed.
 const POLLS_PER_LIST: u64 = 10;
 
-/// How a stand-in worker departs from what was declared.
+/// How the runs of a stand-in worker deviate from what the job declares.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Behaviour {
-    /// Real seconds for each declared second.
+    /// Real seconds per declared second.
     pub time_scale: f64,
-    /// Every run fails at once.
+    /// Every run fails as soon as it starts.
     pub fail_all: bool,
-    /// Run time in percent of the declared one.
+    /// Run time as a percentage of the declared one, before `time_scale`.
     pub run_time_percent: u32,
-    /// Reported use in percent of the declared need.
+    /// Reported use as a percentage of the declared need.
     pub usage_percent: u32,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Behaviour {
-    fn length(&self, declared: Duration) -> Duration {
+    fn run_time(&self, declared: Duration) -> Duration {
         if self.fail_all {
             return Duration::ZERO;
         }
@@ -52,27 +52,27 @@
     }
 }
 
-/// Something that happened to a run.
+/// Start or end of a run, for the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEvent {
-    /// It began.
+    /// The run started.
     Started {
-        /// The run.
+        /// Task and attempt.
         run: TaskRun,
-        /// What it was granted.
+        /// Resources reserved for the run.
         need: Resources,
         /// Whether no other run of the task may exist at the same time.
         exclusive: bool,
-        /// When.
+        /// Time of the start.
         at: Timestamp,
     },
-    /// It ended.
+    /// The run ended.
     Ended {
-        /// The run.
+        /// Task and attempt.
         run: TaskRun,
-        /// How.
+        /// How the run ended.
         end: RunEnd,
-        /// When.
+        /// Time of the end, which can be before the time it was noticed.
         at: Timestamp,
     },
 }
@@ -81,28 +81,32 @@
     need: Resources,
     keep_without_lease: bool,
     throttled: bool,
+    /// End of the run time; absent for a run without end.
     due: Option<Timestamp>,
 }
 
-/// One process of a worker.
+/// State of one worker process.
 pub struct WorkerState {
     spec: WorkerSpec,
     process: ProcessId,
     behaviour: Behaviour,
     sequence: u64,
+    /// Version of the list of runs.
     list: u64,
+    /// Version at the time of the last poll.
     polled_list: u64,
-    known_list: Option<u64>,
+    /// Version that control holds; absent when it asked for the list.
+    acknowledged_list: Option<u64>,
     lease_until: Timestamp,
     running: BTreeMap<TaskRun, Running>,
     ended: Vec<EndedRun>,
     latest: HashMap<TaskId, Attempt>,
-    seen: VecDeque<TaskId>,
+    task_order: VecDeque<TaskId>,
     events: Vec<RunEvent>,
 }
 
 impl WorkerState {
-    /// A worker that runs nothing and holds no lease.
+    /// Creates a worker without runs and without a lease.
     pub fn new(spec: WorkerSpec, process: ProcessId, behaviour: Behaviour) -> Self {
         Self {
             spec,
@@ -111,46 +115,46 @@
             sequence: 0,
             list: 0,
             polled_list: 0,
-            known_list: None,
+            acknowledged_list: None,
             lease_until: Timestamp::ZERO,
             running: BTreeMap::new(),
             ended: Vec::new(),
             latest: HashMap::new(),
-            seen: VecDeque::new(),
+            task_order: VecDeque::new(),
             events: Vec::new(),
         }
     }
 
-    /// Replaces how the worker departs from what is declared; runs that go on keep their end.
+    /// Replaces the behaviour. Runs in progress keep their end time.
     pub fn set_behaviour(&mut self, behaviour: Behaviour) {
         self.behaviour = behaviour;
     }
 
-    /// Runs that go on.
+    /// Number of runs in progress.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Ended runs that control has not acknowledged.
+    /// Number of ended runs that control has not acknowledged.
     pub fn unacknowledged(&self) -> usize {
         self.ended.len()
     }
 
-    /// End of the lease.
+    /// Time at which the lease expires; zero before the first lease.
     pub fn lease_until(&self) -> Timestamp {
         self.lease_until
     }
 
-    /// Takes out what happened since the last call.
+    /// Returns and clears the events since the last call.
     pub fn take_events(&mut self) -> Vec<RunEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Makes the poll to send at `now`.
+    /// Builds the poll to send at `now`.
     pub fn poll(&mut self, now: Timestamp, wait: Duration, leaving: bool) -> WorkerPoll {
         self.advance(now);
         self.sequence += 1;
-        let unchanged = self.may_leave_out_list();
+        let unchanged = self.can_omit_list();
         let (running, usage) = match unchanged {
             true => (Vec::new(), Vec::new()),
             false => (self.running.keys().cloned().collect(), self.usage()),
@@ -170,25 +174,26 @@
         }
     }
 
-    /// Whether control holds the list of runs. Every so often it is sent all the same, with
-    /// what the runs use.
-    fn may_leave_out_list(&self) -> bool {
-        self.known_list == Some(self.list) && !self.sequence.is_multiple_of(POLLS_PER_LIST)
+    /// Whether the poll can omit the list of runs because control holds the current version. Every
+    /// `POLLS_PER_LIST` polls the list is sent anyway, to report the use of the runs.
+    fn can_omit_list(&self) -> bool {
+        self.acknowledged_list == Some(self.list) && !self.sequence.is_multiple_of(POLLS_PER_LIST)
     }
 
-    /// Takes in the answer to the poll that was sent at `sent`. A run it does not mention goes
-    /// on; one that must end is in its list of stops.
-    pub fn answered(&mut self, sent: Timestamp, now: Timestamp, tasks: WorkerTasks) {
+    /// Applies the answer to the poll that was sent at `sent`. A run that the answer does not
+    /// mention continues; runs to end are in its `stop` list.
+    pub fn apply_answer(&mut self, sent: Timestamp, now: Timestamp, tasks: WorkerTasks) {
         self.advance(now);
-        // The lease runs from the send, which is earlier than control's receipt. An answer that
-        // arrives later than that (a paused process, a slow path) may tell of starts that control
-        // has since given to another worker: two places at once. So it counts for nothing.
+        // The lease is counted from the send, which is before control received the poll. An answer
+        // that arrives after that lease has expired (paused process, slow network) may start tasks
+        // that control has since placed on another worker, so that they would run twice. It is
+        // discarded.
         let until = sent.saturating_add(tasks.lease);
         if until <= now {
             return;
         }
         self.lease_until = self.lease_until.max(until);
-        self.known_list = (!tasks.send_list).then_some(self.polled_list);
+        self.acknowledged_list = (!tasks.send_list).then_some(self.polled_list);
         self.ended
             .retain(|ended| !tasks.acknowledged.contains(&ended.run));
         for stop in tasks.stop {
@@ -200,36 +205,36 @@
         self.advance(now);
     }
 
-    /// Ends what is due by `now`: finished runs, then exclusive runs without a lease.
+    /// Ends the runs whose run time is over by `now`, and exclusive runs if the lease has expired.
     pub fn advance(&mut self, now: Timestamp) {
-        let lapsed = self.lease_until <= now;
+        let lease_expired = self.lease_until <= now;
         let due: Vec<_> = self
             .running
             .iter()
-            .filter_map(|(run, running)| self.end_by(now, lapsed, run, running))
+            .filter_map(|(run, running)| self.end_by(now, lease_expired, run, running))
             .collect();
         for (run, at, end) in due {
             self.finish(run, at, end);
         }
     }
 
-    /// The next moment at which `advance` has something to do.
+    /// Next time at which `advance` may end a run; absent when no run has an end.
     pub fn next_due(&self) -> Option<Timestamp> {
         let ends = self.running.values().filter_map(|running| running.due);
         let exclusive = self.running.values().any(|run| !run.keep_without_lease);
         ends.chain(exclusive.then_some(self.lease_until)).min()
     }
 
-    /// A run is a timer: it ends at its due time or with the lease, whichever is first, also
-    /// when the process was paused over both.
+    /// Returns the end of a run that is over by `now`. A run ends at its due time or, if exclusive,
+    /// when the lease expires, whichever is first, even if the process was paused past both.
     fn end_by(
         &self,
         now: Timestamp,
-        lapsed: bool,
+        lease_expired: bool,
         run: &TaskRun,
         running: &Running,
     ) -> Option<(TaskRun, Timestamp, RunEnd)> {
-        let stops = lapsed && !running.keep_without_lease;
+        let stops = lease_expired && !running.keep_without_lease;
         let limit = if stops { self.lease_until } else { now };
         if let Some(due) = running.due.filter(|due| *due <= limit) {
             let end = match self.behaviour.fail_all {
@@ -242,19 +247,20 @@
     }
 
     fn assign(&mut self, now: Timestamp, assigned: AssignedRun) {
-        let known = self.latest.get(&assigned.run.task).copied();
-        match known {
+        let latest = self.latest.get(&assigned.run.task).copied();
+        match latest {
             Some(latest) if assigned.run.attempt < latest => self.refuse(assigned.run),
             Some(latest) if assigned.run.attempt == latest => {}
             _ => self.start(now, assigned),
         }
     }
 
-    /// An attempt older than one already seen here comes from a leader that has been replaced,
-    /// or from an answer that was overtaken. Running it would run the task twice.
+    /// Reports a run as never started. An attempt older than one already received comes from a
+    /// replaced leader or from an answer that arrived out of order; starting it would run the task
+    /// twice.
     fn refuse(&mut self, run: TaskRun) {
-        let told = self.ended.iter().any(|ended| ended.run == run);
-        if !told && !self.running.contains_key(&run) {
+        let reported = self.ended.iter().any(|ended| ended.run == run);
+        if !reported && !self.running.contains_key(&run) {
             let end = RunEnd::NeverStarted;
             self.ended.push(EndedRun { run, end });
         }
@@ -262,14 +268,14 @@
 
     fn start(&mut self, now: Timestamp, assigned: AssignedRun) {
         let AssignedRun { run, need, .. } = assigned;
-        self.remember(&run);
-        let length = self.behaviour.length(assigned.run_time);
+        self.record_attempt(&run);
+        let run_time = self.behaviour.run_time(assigned.run_time);
         let endless = assigned.run_time.is_zero() && !self.behaviour.fail_all;
         let running = Running {
             need,
             keep_without_lease: assigned.keep_without_lease,
             throttled: false,
-            due: (!endless).then(|| now.saturating_add(length)),
+            due: (!endless).then(|| now.saturating_add(run_time)),
         };
         self.events.push(RunEvent::Started {
             run: run.clone(),
@@ -281,12 +287,12 @@
         self.list += 1;
     }
 
-    fn remember(&mut self, run: &TaskRun) {
+    fn record_attempt(&mut self, run: &TaskRun) {
         if self.latest.insert(run.task.clone(), run.attempt).is_none() {
-            self.seen.push_back(run.task.clone());
+            self.task_order.push_back(run.task.clone());
         }
-        while self.seen.len() > REMEMBERED_TASKS {
-            if let Some(oldest) = self.seen.pop_front() {
+        while self.task_order.len() > MAX_TRACKED_TASKS {
+            if let Some(oldest) = self.task_order.pop_front() {
                 self.latest.remove(&oldest);
             }
         }
@@ -304,15 +310,15 @@
         }
     }
 
-    /// A stop for a run that never began here. It is remembered, so that an answer which was
-    /// overtaken cannot start it later, and then reported as never started.
+    /// Handles a stop for a run that has not started here. The attempt is recorded, so that an
+    /// answer that arrives out of order cannot start it later, and reported as never started.
     fn stop_before_start(&mut self, run: TaskRun) {
         if self
             .latest
             .get(&run.task)
             .is_none_or(|latest| run.attempt > *latest)
         {
-            self.remember(&run);
+            self.record_attempt(&run);
             let end = RunEnd::NeverStarted;
             self.ended.push(EndedRun { run, end });
         }
--- a/tests/stand_in.rs
+++ b/tests/stand_in.rs
@@ -1,4 +1,4 @@
-//! The stand-in worker: its lease, its attempts and its reports.
+//! Tests of the stand-in worker (lease, attempts, reports of ended runs) and of its ledger.
 
 use std::time::Duration;
 
@@ -62,11 +62,11 @@
 }
 
 #[test]
-fn an_exclusive_run_stops_when_the_lease_lapses() {
-    // The worker is cut off at 0 s with ten seconds of lease. Control gives the task to another
-    // worker after that, so the run must be over at 10 s although it wanted 60 s.
+fn an_exclusive_run_stops_when_the_lease_expires() {
+    // The worker loses its connection with a lease until 10 s. Control may then start the task on
+    // another worker, so a run of 60 s must stop at 10 s or the task would run twice.
     let mut worker = worker();
-    worker.answered(at(0), at(1), tasks(vec![assigned(1, at(60))]));
+    worker.apply_answer(at(0), at(1), tasks(vec![assigned(1, at(60))]));
     assert_eq!(worker.next_due(), Some(at(10)));
     worker.advance(at(9));
     assert_eq!(worker.running(), 1);
@@ -81,22 +81,22 @@
 }
 
 #[test]
-fn an_answer_older_than_its_lease_starts_nothing() {
-    // The process was paused for 11 s with an answer waiting in its socket. Control has given
-    // the task away by then; starting it would run it in two places.
+fn an_answer_received_after_its_lease_expired_starts_nothing() {
+    // The process was paused for 11 s with an unread answer in its socket. Control may have placed
+    // the task on another worker by then, so starting it here would run it twice.
     let mut worker = worker();
-    worker.answered(at(0), at(11), tasks(vec![assigned(1, at(60))]));
+    worker.apply_answer(at(0), at(11), tasks(vec![assigned(1, at(60))]));
     assert_eq!(worker.running(), 0);
     assert_eq!(worker.take_events(), []);
 }
 
 #[test]
 fn an_older_attempt_is_refused_and_an_equal_one_runs_once() {
-    // A replaced leader's start arrives after the new leader's. The same start also arrives
-    // twice, since control repeats it until a poll shows it.
+    // A start from a replaced leader arrives after that of the new leader. The new start also
+    // arrives twice, as control repeats it until a poll lists the run.
     let mut worker = worker();
     let both = vec![assigned(2, at(5)), assigned(2, at(5)), assigned(1, at(5))];
-    worker.answered(at(0), at(0), tasks(both));
+    worker.apply_answer(at(0), at(0), tasks(both));
     assert_eq!(worker.running(), 1);
     assert_eq!(ended(&mut worker, at(1)), [(1, RunEnd::NeverStarted)]);
     assert_eq!(
@@ -108,20 +108,20 @@
 #[test]
 fn an_end_is_reported_until_it_is_acknowledged() {
     let mut worker = worker();
-    worker.answered(at(0), at(0), tasks(vec![assigned(1, at(5))]));
+    worker.apply_answer(at(0), at(0), tasks(vec![assigned(1, at(5))]));
     assert_eq!(ended(&mut worker, at(6)), [(1, RunEnd::Done)]);
     assert_eq!(ended(&mut worker, at(7)), [(1, RunEnd::Done)]);
     let mut answer = tasks(vec![assigned(1, at(5))]);
     answer.acknowledged = vec![run(1)];
-    worker.answered(at(7), at(7), answer);
+    worker.apply_answer(at(7), at(7), answer);
     assert_eq!(ended(&mut worker, at(8)), []);
     assert_eq!(worker.running(), 0);
 }
 
 #[test]
-fn a_stop_that_overtakes_its_start_wins() {
-    // The answer with the start is overtaken by the one that stops it. The worker proves that
-    // the run never began, so it must not begin afterwards.
+fn a_stop_received_before_its_start_prevents_the_run() {
+    // The answer with the stop arrives before the one with the start. The worker reports the run
+    // as never started, so it must not start it afterwards.
     let mut worker = worker();
     let stop = StopRun {
         run: run(1),
@@ -129,8 +129,8 @@
     };
     let mut answer = tasks(vec![]);
     answer.stop = vec![stop];
-    worker.answered(at(0), at(0), answer);
-    worker.answered(at(0), at(1), tasks(vec![assigned(1, at(5))]));
+    worker.apply_answer(at(0), at(0), answer);
+    worker.apply_answer(at(0), at(1), tasks(vec![assigned(1, at(5))]));
     assert_eq!(worker.running(), 0);
     assert_eq!(ended(&mut worker, at(2)), [(1, RunEnd::NeverStarted)]);
 }
