--- a/src/fault/connection.rs
+++ b/src/fault/connection.rs
@@ -1,4 +1,5 @@
-//! One connection through a proxy: both directions with their delays, silences and cuts.
+//! Forwards one TCP connection in both directions and applies delay, silence, truncation, reset
+//! and close.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,38 +16,39 @@
 use super::rules::{Direction, Rules, Truncation};
 use super::tcp::Shared;
 
-const PIECE: usize = 16 * 1024;
-/// Pieces of one direction that wait for their delay to pass.
-const PIECES_DELAYED: usize = 64;
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum number of chunks per direction that wait for their delay to pass. At this number the
+/// proxy stops reading.
+const MAX_DELAYED_CHUNKS: usize = 64;
 
-/// Why a connection through the proxy ended.
+/// How to end a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ending {
+enum CloseKind {
     Closed,
     Reset,
 }
 
-pub(super) async fn carry(id: u64, mut client: TcpStream, shared: Arc<Shared>) {
+pub(super) async fn forward(id: u64, mut client: TcpStream, shared: Arc<Shared>) {
     let mut rules = shared.rules.subscribe();
     let opened = tokio::select! {
         opened = open_upstream(id, &shared) => opened,
-        _ = ended_by_rule(id, &mut rules) => None,
+        _ = wait_for_close(id, &mut rules) => None,
     };
     let Some(mut server) = opened else {
         let _ = client.set_zero_linger();
         return;
     };
-    let ending = {
+    let close_kind = {
         let (client_rx, client_tx) = client.split();
         let (server_rx, server_tx) = server.split();
         let up = Pump::new(id, Direction::ToServer, &shared).run(client_rx, server_tx);
         let down = Pump::new(id, Direction::ToClient, &shared).run(server_rx, client_tx);
         tokio::select! {
-            ending = ended_by_rule(id, &mut rules) => ending,
-            ending = both(up, down) => ending,
+            close_kind = wait_for_close(id, &mut rules) => close_kind,
+            close_kind = run_directions(up, down) => close_kind,
         }
     };
-    if ending == Ending::Reset {
+    if close_kind == CloseKind::Reset {
         let _ = client.set_zero_linger();
         let _ = server.set_zero_linger();
     }
@@ -63,33 +65,35 @@
     Some(stream)
 }
 
-async fn ended_by_rule(id: u64, rules: &mut watch::Receiver<Rules>) -> Ending {
+async fn wait_for_close(id: u64, rules: &mut watch::Receiver<Rules>) -> CloseKind {
     let ends = |rules: &Rules| id < rules.reset_below || id < rules.closed_below;
     match rules.wait_for(ends).await {
-        Ok(rules) if id < rules.reset_below => Ending::Reset,
-        _ => Ending::Closed,
+        Ok(rules) if id < rules.reset_below => CloseKind::Reset,
+        _ => CloseKind::Closed,
     }
 }
 
-/// Runs both directions until each has closed in its turn, or one broke.
-async fn both(
-    up: impl Future<Output = Result<(), Ending>>,
-    down: impl Future<Output = Result<(), Ending>>,
-) -> Ending {
+/// Runs both directions until both have closed or one has failed.
+async fn run_directions(
+    up: impl Future<Output = Result<(), CloseKind>>,
+    down: impl Future<Output = Result<(), CloseKind>>,
+) -> CloseKind {
     match tokio::try_join!(up, down) {
-        Ok(_) => Ending::Closed,
-        Err(ending) => ending,
+        Ok(_) => CloseKind::Closed,
+        Err(close_kind) => close_kind,
     }
 }
 
-/// What a direction carries, in order.
-enum Piece {
+/// Input of a direction's writer, in order of arrival.
+enum Chunk {
+    /// Bytes and the earliest time to deliver them.
     Data(Instant, Bytes),
     End,
-    Broken,
+    /// The read failed.
+    Failed,
 }
 
-/// One direction of one connection.
+/// Reader and writer of one direction of one connection.
 struct Pump<'a> {
     id: u64,
     direction: Direction,
@@ -110,8 +114,8 @@
         }
     }
 
-    async fn run(self, rx: ReadHalf<'_>, tx: WriteHalf<'_>) -> Result<(), Ending> {
-        let (pieces_tx, pieces_rx) = mpsc::channel(PIECES_DELAYED);
+    async fn run(self, rx: ReadHalf<'_>, tx: WriteHalf<'_>) -> Result<(), CloseKind> {
+        let (chunks_tx, chunks_rx) = mpsc::channel(MAX_DELAYED_CHUNKS);
         let writer = Writer {
             id: self.id,
             direction: self.direction,
@@ -119,24 +123,24 @@
             rules: self.shared.rules.subscribe(),
             truncation: None,
         };
-        let (written, ()) = tokio::join!(writer.run(tx, pieces_rx), self.read_all(rx, pieces_tx));
+        let (written, ()) = tokio::join!(writer.run(tx, chunks_rx), self.read_all(rx, chunks_tx));
         written
     }
 
-    async fn read_all(mut self, mut rx: ReadHalf<'_>, pieces: mpsc::Sender<Piece>) {
+    async fn read_all(mut self, mut rx: ReadHalf<'_>, chunks: mpsc::Sender<Chunk>) {
         let mut last = Instant::now();
         loop {
-            let mut buf = BytesMut::with_capacity(PIECE);
-            let piece = match rx.read_buf(&mut buf).await {
-                Ok(0) => Piece::End,
+            let mut buf = BytesMut::with_capacity(CHUNK_BYTES);
+            let chunk = match rx.read_buf(&mut buf).await {
+                Ok(0) => Chunk::End,
                 Ok(_) => {
                     last = last.max(Instant::now() + self.delay());
-                    Piece::Data(last, buf.freeze())
+                    Chunk::Data(last, buf.freeze())
                 }
-                Err(_) => Piece::Broken,
+                Err(_) => Chunk::Failed,
             };
-            let more = matches!(piece, Piece::Data(..));
-            if pieces.send(piece).await.is_err() || !more {
+            let more = matches!(chunk, Chunk::Data(..));
+            if chunks.send(chunk).await.is_err() || !more {
                 return;
             }
         }
@@ -150,6 +154,7 @@
     }
 }
 
+/// Writes the chunks of one direction when their delay has passed.
 struct Writer<'a> {
     id: u64,
     direction: Direction,
@@ -162,29 +167,29 @@
     async fn run(
         mut self,
         mut tx: WriteHalf<'_>,
-        mut pieces: mpsc::Receiver<Piece>,
-    ) -> Result<(), Ending> {
-        while let Some(piece) = pieces.recv().await {
-            match piece {
-                Piece::Data(at, data) => {
+        mut chunks: mpsc::Receiver<Chunk>,
+    ) -> Result<(), CloseKind> {
+        while let Some(chunk) = chunks.recv().await {
+            match chunk {
+                Chunk::Data(at, data) => {
                     tokio::time::sleep_until(at).await;
-                    self.unless_silent().await;
+                    self.wait_while_silent().await;
                     self.deliver(&mut tx, data).await?;
                 }
-                Piece::End => {
-                    self.unless_silent().await;
-                    return tx.shutdown().await.map_err(|_| Ending::Reset);
+                Chunk::End => {
+                    self.wait_while_silent().await;
+                    return tx.shutdown().await.map_err(|_| CloseKind::Reset);
                 }
-                Piece::Broken => {
-                    self.unless_silent().await;
-                    return Err(Ending::Reset);
+                Chunk::Failed => {
+                    self.wait_while_silent().await;
+                    return Err(CloseKind::Reset);
                 }
             }
         }
         Ok(())
     }
 
-    async fn unless_silent(&mut self) {
+    async fn wait_while_silent(&mut self) {
         let (id, direction) = (self.id, self.direction);
         let _ = self
             .rules
@@ -192,23 +197,24 @@
             .await;
     }
 
-    async fn deliver(&mut self, tx: &mut WriteHalf<'_>, mut data: Bytes) -> Result<(), Ending> {
-        let limit = self.limit();
-        let cut = limit.is_some_and(|left| data.len() as u64 > left);
-        if let Some(left) = limit.filter(|_| cut) {
+    async fn deliver(&mut self, tx: &mut WriteHalf<'_>, mut data: Bytes) -> Result<(), CloseKind> {
+        let remaining_bytes = self.remaining_bytes();
+        let cut = remaining_bytes.is_some_and(|left| data.len() as u64 > left);
+        if let Some(left) = remaining_bytes.filter(|_| cut) {
             data.truncate(left as usize);
         }
-        tx.write_all(&data).await.map_err(|_| Ending::Reset)?;
+        tx.write_all(&data).await.map_err(|_| CloseKind::Reset)?;
         self.count(data.len() as u64);
         if cut {
             let _ = tx.shutdown().await;
-            return Err(Ending::Closed);
+            return Err(CloseKind::Closed);
         }
         Ok(())
     }
 
-    /// Bytes that may still be carried, when a truncation is in force.
-    fn limit(&mut self) -> Option<u64> {
+    /// Number of bytes that may still be delivered; absent without a truncation. A new truncation
+    /// restarts the count.
+    fn remaining_bytes(&mut self) -> Option<u64> {
         let rule = self.rules.borrow().truncate;
         let rule = rule.filter(|rule| rule.direction.covers(self.direction));
         if self.truncation.map(|(rule, _)| rule) != rule {
--- a/src/fault/mod.rs
+++ b/src/fault/mod.rs
@@ -1,7 +1,7 @@
-//! A proxy that injects faults between two processes of a test, for TCP and UDP.
+//! TCP and UDP proxies that inject network faults between two processes of a test.
 //!
-//! It stands for the network: what it holds back is delivered when it heals, as TCP itself
-//! would, unless the connection was made silent for good.
+//! The TCP proxies behave like a network partition: bytes held back are delivered when the fault
+//! ends, as TCP retransmits them, unless the connection was silenced permanently.
 
 mod connection;
 mod rules;
--- a/src/fault/rules.rs
+++ b/src/fault/rules.rs
@@ -1,4 +1,4 @@
-//! Faults, and the rules in force that follow from them.
+//! Fault kinds, and the rules that result from the faults applied so far.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     ToServer,
     /// From the side that listens to the side that connects.
     ToClient,
-    /// Both.
+    /// Both directions.
     Both,
 }
 
@@ -19,47 +19,50 @@
     }
 }
 
-/// A fault to inject from now on.
+/// A fault to inject, effective at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Closes every connection and refuses new ones; drops datagrams.
+    /// Closes every connection and resets new ones; drops datagrams.
     Cut,
-    /// Holds back all traffic of a direction, also on new connections, and closes nothing.
-    /// What was held is delivered on `Reopen`; datagrams are lost.
+    /// Holds back all traffic of a direction, also on new connections, without closing any.
+    /// `Reopen` delivers the bytes held back; datagrams are lost.
     Silence(Direction),
-    /// Makes the connections open now silent for good; new ones work.
+    /// Silences the open connections permanently; new ones work.
     SilenceOpen,
-    /// Delays each piece of a direction by a fixed time plus up to a random jitter, in order.
+    /// Delays each chunk of a direction by a fixed time plus random jitter, keeping the order of
+    /// TCP data.
     Delay {
-        /// Direction.
+        /// Direction to delay.
         direction: Direction,
-        /// Least delay.
+        /// Minimum delay.
         fixed: Duration,
-        /// Greatest random addition.
+        /// Maximum random time added to `fixed`.
         jitter: Duration,
     },
-    /// Ends every open connection with a reset; new ones work.
+    /// Resets every open connection; new ones work.
     Reset,
-    /// Ends each connection once it has carried this many more bytes of a direction.
+    /// Closes each connection when a direction exceeds a byte limit, counted from this fault or,
+    /// if later, from the start of the connection.
     Truncate {
-        /// Direction.
+        /// Direction to count.
         direction: Direction,
-        /// Bytes still carried.
+        /// Number of bytes still delivered.
         after: u64,
     },
-    /// Loses a share of datagrams, in percent. TCP traffic is left alone.
+    /// Drops a percentage of datagrams. TCP traffic is not affected.
     Lose(u8),
-    /// Ends all faults for new connections, and silence for held ones.
+    /// Removes all faults, except the effects of `Cut`, `Reset` and `SilenceOpen` on connections
+    /// that were open at the time. Bytes held back by `Silence` are delivered.
     Reopen,
 }
 
-/// What a proxy does with traffic at this moment.
+/// Faults in force.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Rules {
     pub(crate) cut: bool,
     pub(crate) silent_to_server: bool,
     pub(crate) silent_to_client: bool,
-    /// Connections with a lower number are silent for good.
+    /// Connections with a lower number are silent permanently.
     pub(crate) silent_below: u64,
     /// Connections with a lower number are reset.
     pub(crate) reset_below: u64,
@@ -71,7 +74,8 @@
     pub(crate) lose_percent: u8,
 }
 
-/// A limit on bytes carried; its number tells a new one from the one before.
+/// Limit on the bytes delivered. `number` distinguishes two faults with equal values, as each one
+/// restarts the count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Truncation {
     pub(crate) number: u64,
@@ -80,8 +84,8 @@
 }
 
 impl Rules {
-    /// Takes a fault into the rules. `next` is the number of the next connection, `fault_number`
-    /// grows with each fault.
+    /// Updates the rules for a fault. `next` is the number of the next connection; `fault_number`
+    /// differs for each fault applied.
     pub(crate) fn apply(&mut self, fault: Fault, next: u64, fault_number: u64) {
         match fault {
             Fault::Cut => {
--- a/src/fault/script.rs
+++ b/src/fault/script.rs
@@ -1,4 +1,4 @@
-//! Scripts: faults in order, each with what it waits for.
+//! Scripts: sequences of faults, each with a trigger.
 
 use std::time::Duration;
 
@@ -8,27 +8,27 @@
 use super::rules::{Direction, Fault};
 use super::tcp::Lane;
 
-/// What a step waits for before its fault.
+/// Condition that a step waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trigger {
-    /// Time since the step before.
+    /// Time since the previous step.
     After(Duration),
-    /// Connections accepted since the proxy began.
+    /// Number of connections accepted since the proxy started.
     Connections(u64),
-    /// Bytes carried in a direction since the proxy began.
+    /// Number of bytes delivered in a direction since the proxy started.
     Bytes(Direction, u64),
 }
 
 /// One step of a script.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultStep {
-    /// What it waits for.
+    /// Condition to wait for before the fault.
     pub when: Trigger,
-    /// What then happens.
+    /// Fault to inject.
     pub fault: Fault,
 }
 
-/// Plays a script on the connections of a lane to its end.
+/// Applies the steps of a script to the connections of `lane` and returns after the last one.
 pub async fn play(lane: &Lane, script: &[FaultStep]) {
     for step in script {
         match step.when {
@@ -42,8 +42,8 @@
     }
 }
 
-/// Draws a script of faults and repairs from a seed. Every fault is followed by `Reopen`, so
-/// the link works at the end.
+/// Generates a script from a seed. Every fault is followed by `Reopen`, so new connections work at
+/// the end. `longest` is the maximum time before each step.
 pub fn random_script(seed: u64, faults: usize, longest: Duration) -> Vec<FaultStep> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut script = Vec::with_capacity(faults * 2);
--- a/src/fault/tcp.rs
+++ b/src/fault/tcp.rs
@@ -1,4 +1,4 @@
-//! The proxies for TCP connections.
+//! Fault-injecting proxies for TCP connections.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,23 +10,23 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::connection::carry;
+use super::connection::forward;
 use super::rules::{Direction, Fault, Rules};
 use crate::error::{Error, Result, Step};
 
-/// What a proxy has carried.
+/// Traffic counters of a proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProxyCounts {
-    /// Connections accepted.
+    /// Number of connections accepted, without those reset by `Fault::Cut`.
     pub connections: u64,
-    /// Bytes delivered to the server.
+    /// Number of bytes delivered to the server.
     pub bytes_to_server: u64,
-    /// Bytes delivered to the client.
+    /// Number of bytes delivered to the client.
     pub bytes_to_client: u64,
 }
 
 impl ProxyCounts {
-    /// Bytes delivered in a direction, or in both together.
+    /// Number of bytes delivered in a direction; the sum for `Direction::Both`.
     pub fn bytes(&self, direction: Direction) -> u64 {
         match direction {
             Direction::ToServer => self.bytes_to_server,
@@ -36,7 +36,7 @@
     }
 }
 
-/// The connections of a proxy that share their faults.
+/// The group of connections of a proxy that a fault applies to.
 #[derive(Clone)]
 pub struct Lane(Arc<Shared>);
 
@@ -59,7 +59,7 @@
         }))
     }
 
-    /// Injects a fault from now on.
+    /// Injects a fault into the connections of the lane.
     pub fn apply(&self, fault: Fault) {
         let number = self.0.faults.fetch_add(1, Ordering::Relaxed);
         let next = self.0.counts.borrow().connections;
@@ -68,19 +68,19 @@
             .send_modify(|rules| rules.apply(fault, next, number));
     }
 
-    /// What was carried so far.
+    /// Current traffic counters.
     pub fn counts(&self) -> ProxyCounts {
         *self.0.counts.borrow()
     }
 
-    /// Waits until the counts fulfil a condition.
+    /// Waits until the counters meet a condition.
     pub async fn reached(&self, condition: impl Fn(&ProxyCounts) -> bool) {
         let mut counts = self.0.counts.subscribe();
         let _ = counts.wait_for(|counts| condition(counts)).await;
     }
 
-    /// Takes a new connection, unless this lane is cut.
-    fn take(&self, client: TcpStream) {
+    /// Forwards a new connection, or resets it when the lane is cut.
+    fn accept(&self, client: TcpStream) {
         if self.0.rules.borrow().cut {
             let _ = client.set_zero_linger();
             return;
@@ -90,12 +90,12 @@
             id = counts.connections;
             counts.connections += 1;
         });
-        tokio::spawn(carry(id, client, self.0.clone()));
+        tokio::spawn(forward(id, client, self.0.clone()));
     }
 }
 
-/// A proxy in front of one listening address. Dropping it closes the listener and every
-/// connection.
+/// A proxy for one server address, with one set of faults. Dropping it closes the listener and all
+/// connections.
 pub struct TcpProxy {
     addr: SocketAddr,
     upstream: watch::Sender<Option<SocketAddr>>,
@@ -104,14 +104,16 @@
 }
 
 impl TcpProxy {
-    /// Listens on a free loopback port and forwards to `upstream`, once that is known.
-    /// `seed` decides jitter.
+    /// Listens on a free loopback port and forwards to `upstream`. Without an address, connections
+    /// wait until `set_upstream` provides one. `seed` determines the jitter.
     pub async fn start(upstream: impl Into<Option<SocketAddr>>, seed: u64) -> Result<Self> {
         let (listener, addr) = listen().await?;
         let upstream = watch::Sender::new(upstream.into());
         let lane = Lane::new(upstream.subscribe(), seed);
-        let taking = lane.clone();
-        let accepting = tokio::spawn(accept_all(listener, move |client, _| taking.take(client)));
+        let accepting_lane = lane.clone();
+        let accepting = tokio::spawn(accept_all(listener, move |client, _| {
+            accepting_lane.accept(client)
+        }));
         Ok(Self {
             addr,
             upstream,
@@ -120,12 +122,12 @@
         })
     }
 
-    /// Address to connect to instead of the upstream's.
+    /// Address that clients connect to instead of that of the server.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Changes where new connections lead.
+    /// Sets the server address for new connections.
     pub fn set_upstream(&self, addr: SocketAddr) {
         self.upstream.send_replace(Some(addr));
     }
@@ -146,8 +148,8 @@
     }
 }
 
-/// A proxy that tells connections apart by who opens them, so that one link can fail alone.
-/// Dropping it closes the listener and every connection.
+/// A proxy that groups connections by the process that opened them, so that the link from one
+/// process can fail alone. Dropping it closes the listener and all connections.
 pub struct SourceProxy {
     addr: SocketAddr,
     lanes: Arc<Lanes>,
@@ -172,8 +174,9 @@
 }
 
 impl SourceProxy {
-    /// Listens on a free loopback port and forwards to `upstream`. `source` names the process
-    /// that opened a connection from its address to the proxy's.
+    /// Listens on a free loopback port and forwards to `upstream`. `source` returns the name of the
+    /// process that opened a connection, given the client's address and the proxy's. `seed`
+    /// determines the jitter.
     pub async fn start(
         upstream: SocketAddr,
         seed: u64,
@@ -185,21 +188,21 @@
             seed,
             by_source: Mutex::default(),
         });
-        let taking = lanes.clone();
-        let take = move |client, peer| taking.of(&source(peer, addr)).take(client);
+        let accepting_lanes = lanes.clone();
+        let accept = move |client, peer| accepting_lanes.of(&source(peer, addr)).accept(client);
         Ok(Self {
             addr,
             lanes,
-            accepting: tokio::spawn(accept_all(listener, take)),
+            accepting: tokio::spawn(accept_all(listener, accept)),
         })
     }
 
-    /// Address to connect to instead of the upstream's.
+    /// Address that clients connect to instead of that of the server.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// The connections that a source has opened or will open.
+    /// The connections that a source has opened or will open, for injecting faults.
     pub fn from(&self, source: &str) -> Lane {
         self.lanes.of(source)
     }
@@ -222,10 +225,10 @@
     Ok((listener, addr))
 }
 
-async fn accept_all(listener: TcpListener, take: impl Fn(TcpStream, SocketAddr)) {
+async fn accept_all(listener: TcpListener, accept: impl Fn(TcpStream, SocketAddr)) {
     loop {
         if let Ok((client, peer)) = listener.accept().await {
-            take(client, peer);
+            accept(client, peer);
         }
     }
 }
--- a/src/fault/udp.rs
+++ b/src/fault/udp.rs
@@ -1,4 +1,4 @@
-//! The proxy for UDP datagrams.
+//! Fault-injecting proxy for UDP datagrams.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,9 +14,9 @@
 use super::rules::{Direction, Fault, Rules};
 use crate::error::{Error, Result, Step};
 
-const LARGEST_DATAGRAM: usize = 65_535;
+const MAX_DATAGRAM_BYTES: usize = 65_535;
 
-/// A proxy in front of one UDP address. Dropping it ends all forwarding.
+/// A proxy for one UDP server address. Dropping it stops all forwarding.
 pub struct UdpProxy {
     addr: SocketAddr,
     rules: watch::Sender<Rules>,
@@ -24,8 +24,8 @@
 }
 
 impl UdpProxy {
-    /// Listens on a free loopback port and forwards to `upstream`. `seed` decides loss and
-    /// jitter.
+    /// Listens on a free loopback port and forwards to `upstream`. `seed` determines loss
+    /// and jitter.
     pub async fn start(upstream: SocketAddr, seed: u64) -> Result<Self> {
         let listen = |e| Error::caused(Step::Listen, "starting a fault proxy", e);
         let socket = UdpSocket::bind("127.0.0.1:0").await.map_err(listen)?;
@@ -46,12 +46,12 @@
         })
     }
 
-    /// Address to send to instead of the upstream's.
+    /// Address that clients send to instead of that of the server.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Injects a fault from now on. Faults of connections mean nothing here.
+    /// Injects a fault. `SilenceOpen`, `Reset` and `Truncate` have no effect on datagrams.
     pub fn apply(&self, fault: Fault) {
         self.rules.send_modify(|rules| rules.apply(fault, 0, 0));
     }
@@ -74,17 +74,17 @@
 
 impl Forwarder {
     async fn run(mut self) {
-        let mut buf = vec![0; LARGEST_DATAGRAM];
+        let mut buf = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((len, client)) = self.socket.recv_from(&mut buf).await else {
                 continue;
             };
-            let Some(out) = self.outward(client).await else {
+            let Some(out) = self.upstream_socket(client).await else {
                 continue;
             };
-            let fate = fate(&self.rules, &mut self.rng, Direction::ToServer);
+            let datagram_delay = datagram_delay(&self.rules, &mut self.rng, Direction::ToServer);
             let (data, upstream) = (buf[..len].to_vec(), self.upstream);
-            if let Some(delay) = fate {
+            if let Some(delay) = datagram_delay {
                 self.tasks.spawn(async move {
                     tokio::time::sleep(delay).await;
                     let _ = out.send_to(&data, upstream).await;
@@ -94,15 +94,16 @@
         }
     }
 
-    /// The socket that stands for a client towards the upstream.
-    async fn outward(&mut self, client: SocketAddr) -> Option<Arc<UdpSocket>> {
+    /// Returns the socket that represents a client at the upstream server, so that replies can be
+    /// assigned to the client. Opens it on first use.
+    async fn upstream_socket(&mut self, client: SocketAddr) -> Option<Arc<UdpSocket>> {
         if let Some(socket) = self.clients.get(&client) {
             return Some(socket.clone());
         }
         let socket = Arc::new(UdpSocket::bind("127.0.0.1:0").await.ok()?);
         self.clients.insert(client, socket.clone());
         let rng = ChaCha8Rng::seed_from_u64(self.rng.random());
-        self.tasks.spawn(back(
+        self.tasks.spawn(forward_replies(
             socket.clone(),
             self.socket.clone(),
             client,
@@ -113,27 +114,27 @@
     }
 }
 
-async fn back(
+async fn forward_replies(
     from: Arc<UdpSocket>,
     to: Arc<UdpSocket>,
     client: SocketAddr,
     rules: watch::Receiver<Rules>,
     mut rng: ChaCha8Rng,
 ) {
-    let mut buf = vec![0; LARGEST_DATAGRAM];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok(len) = from.recv(&mut buf).await else {
             continue;
         };
-        if let Some(delay) = fate(&rules, &mut rng, Direction::ToClient) {
+        if let Some(delay) = datagram_delay(&rules, &mut rng, Direction::ToClient) {
             tokio::time::sleep(delay).await;
             let _ = to.send_to(&buf[..len], client).await;
         }
     }
 }
 
-/// The delay of a datagram, or none when it is lost.
-fn fate(
+/// Delay before a datagram is sent, or `None` when it is dropped.
+fn datagram_delay(
     rules: &watch::Receiver<Rules>,
     rng: &mut ChaCha8Rng,
     direction: Direction,
--- a/tests/fault.rs
+++ b/tests/fault.rs
@@ -1,4 +1,4 @@
-//! The fault-injecting proxy: what each end sees under each fault.
+//! Tests of the fault-injecting proxies: what clients and servers observe under each fault.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
     Direction, Fault, FaultStep, SourceProxy, TcpProxy, Trigger, UdpProxy, play, random_script,
 };
 
-/// Far longer than anything here takes.
+/// Far above the time that any step here takes.
 const DEADLINE: Duration = Duration::from_secs(10);
-/// Long enough to see that nothing comes; a slow machine can only make the check weaker.
+/// Time without data that counts as silence. A slow machine can hide a failure, but not cause one.
 const QUIET: Duration = Duration::from_millis(80);
 
-/// A server that sends back what it gets, behind a proxy.
+/// Starts a server that echoes what it receives, and a proxy for it.
 async fn echo_behind_proxy() -> TcpProxy {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -30,10 +30,10 @@
     TcpProxy::start(addr, 7).await.unwrap()
 }
 
-/// Sends four bytes and gives what came back: bytes, an end, an error, or nothing yet. Waits
-/// long for all but an expected silence.
-async fn ask(stream: &mut TcpStream, expected: &str) -> &'static str {
-    let patience = if expected == "silent" {
+/// Sends four bytes and classifies the response: echoed bytes, a close, an error or silence. The
+/// timeout is short only when silence is expected.
+async fn echo_outcome(stream: &mut TcpStream, expected: &str) -> &'static str {
+    let wait = if expected == "silent" {
         QUIET
     } else {
         DEADLINE
@@ -42,7 +42,7 @@
         return "broken";
     }
     let mut buf = [0; 4];
-    match timeout(patience, stream.read_exact(&mut buf)).await {
+    match timeout(wait, stream.read_exact(&mut buf)).await {
         Ok(Ok(_)) if &buf == b"ping" => "answered",
         Ok(Ok(_)) => "garbled",
         Ok(Err(e)) if e.kind() == std::io::ErrorKind::UnexpectedEof => "closed",
@@ -51,9 +51,9 @@
     }
 }
 
-async fn connect_and_ask(proxy: &TcpProxy, expected: &str) -> &'static str {
+async fn connect_and_echo(proxy: &TcpProxy, expected: &str) -> &'static str {
     match TcpStream::connect(proxy.addr()).await {
-        Ok(mut stream) => ask(&mut stream, expected).await,
+        Ok(mut stream) => echo_outcome(&mut stream, expected).await,
         Err(_) => "refused",
     }
 }
@@ -67,39 +67,39 @@
 #[case::reset(Fault::Reset, "broken", "answered")]
 #[case::truncate(Fault::Truncate { direction: Direction::ToClient, after: 2 }, "closed", "closed")]
 #[tokio::test]
-async fn a_fault_is_seen_as_stated(
+async fn each_fault_has_its_documented_effect(
     #[case] fault: Fault,
     #[case] on_open: &str,
     #[case] on_new: &str,
 ) {
     let proxy = echo_behind_proxy().await;
     let mut open = TcpStream::connect(proxy.addr()).await.unwrap();
-    assert_eq!(ask(&mut open, "answered").await, "answered");
+    assert_eq!(echo_outcome(&mut open, "answered").await, "answered");
     proxy.apply(fault);
     if matches!(fault, Fault::Cut | Fault::Reset) {
         let seen = timeout(DEADLINE, open.read(&mut [0])).await.unwrap();
         assert_eq!(seen.is_err(), fault == Fault::Reset);
     } else {
-        assert_eq!(ask(&mut open, on_open).await, on_open);
+        assert_eq!(echo_outcome(&mut open, on_open).await, on_open);
     }
-    let new = connect_and_ask(&proxy, on_new).await;
+    let new = connect_and_echo(&proxy, on_new).await;
     let ended = ["broken", "closed", "refused"];
     assert!(
         new == on_new || on_new == "broken" && ended.contains(&new),
         "{new}"
     );
     proxy.apply(Fault::Reopen);
-    assert_eq!(connect_and_ask(&proxy, "answered").await, "answered");
+    assert_eq!(connect_and_echo(&proxy, "answered").await, "answered");
 }
 
 #[tokio::test]
-async fn what_silence_held_is_delivered_whole_when_it_heals() {
-    // A network partition hides packets; TCP sends them again when it heals. Nothing of the
-    // stream may be missing then, or the fault would be the proxy's own.
+async fn bytes_held_by_silence_are_delivered_on_reopen() {
+    // TCP retransmits the packets lost in a network partition when it ends. If the proxy lost
+    // bytes, tests would see a fault that no real network has.
     let proxy = echo_behind_proxy().await;
     let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
     proxy.apply(Fault::Silence(Direction::ToServer));
-    assert_eq!(ask(&mut stream, "silent").await, "silent");
+    assert_eq!(echo_outcome(&mut stream, "silent").await, "silent");
     proxy.apply(Fault::Reopen);
     let mut buf = [0; 4];
     let read = timeout(DEADLINE, stream.read_exact(&mut buf)).await;
@@ -108,18 +108,18 @@
 }
 
 #[tokio::test]
-async fn one_source_fails_alone() {
+async fn a_fault_on_one_source_leaves_others_alone() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let ports = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let known = ports.clone();
     let source = move |peer: std::net::SocketAddr, _| {
-        let place = known
+        let index = known
             .lock()
             .unwrap()
             .iter()
             .position(|port| *port == peer.port());
-        compact_str::format_compact!("client-{}", place.unwrap())
+        compact_str::format_compact!("client-{}", index.unwrap())
     };
     let proxy = SourceProxy::start(addr, 7, source).await.unwrap();
     proxy
@@ -135,8 +135,8 @@
             .push(socket.local_addr().unwrap().port());
         let mut client = socket.connect(proxy.addr()).await.unwrap();
         client.write_all(b"ping").await.unwrap();
-        let patience = if received.is_empty() { DEADLINE } else { QUIET };
-        received.push(timeout(patience, listener.accept()).await.is_ok());
+        let wait = if received.is_empty() { DEADLINE } else { QUIET };
+        received.push(timeout(wait, listener.accept()).await.is_ok());
     }
     assert_eq!(received, [true, false]);
     assert_eq!(proxy.from("client-0").counts().connections, 1);
@@ -157,7 +157,7 @@
     ];
     let client = async {
         let mut stream = TcpStream::connect(proxy.addr()).await.unwrap();
-        assert_eq!(ask(&mut stream, "answered").await, "answered");
+        assert_eq!(echo_outcome(&mut stream, "answered").await, "answered");
         let _second = TcpStream::connect(proxy.addr()).await.unwrap();
         timeout(DEADLINE, stream.read(&mut [0])).await.unwrap()
     };
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_random_script_follows_from_its_seed() {
+fn a_random_script_is_reproducible_from_its_seed() {
     let longest = Duration::from_secs(1);
     let script = random_script(3, 20, longest);
     assert_eq!(script, random_script(3, 20, longest));
