--- a/src/fault/tcp.rs
+++ b/src/fault/tcp.rs
@@ -110,10 +110,8 @@
         let (listener, addr) = listen().await?;
         let upstream = watch::Sender::new(upstream.into());
         let lane = Lane::new(upstream.subscribe(), seed);
-        let accepting_lane = lane.clone();
-        let accepting = tokio::spawn(accept_all(listener, move |client, _| {
-            accepting_lane.accept(client)
-        }));
+        let shared = lane.clone();
+        let accepting = tokio::spawn(accept_all(listener, move |client, _| shared.accept(client)));
         Ok(Self {
             addr,
             upstream,
@@ -188,8 +186,8 @@
             seed,
             by_source: Mutex::default(),
         });
-        let accepting_lanes = lanes.clone();
-        let accept = move |client, peer| accepting_lanes.of(&source(peer, addr)).accept(client);
+        let shared = lanes.clone();
+        let accept = move |client, peer| shared.of(&source(peer, addr)).accept(client);
         Ok(Self {
             addr,
             lanes,
--- a/src/stand_in/worker.rs
+++ b/src/stand_in/worker.rs
@@ -47,7 +47,7 @@
 
 /// A running stand-in worker. Dropping it simulates a crash: nothing more is sent.
 pub struct WorkerHandle {
-    settings: watch::Sender<Settings>,
+    settings_tx: watch::Sender<Settings>,
     task: JoinHandle<()>,
     ledger: Arc<Ledger>,
     spec: WorkerSpec,
@@ -57,14 +57,14 @@
 impl WorkerHandle {
     /// Replaces the behaviour, starting with the next poll. Runs in progress keep their end time.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
-        self.settings
+        self.settings_tx
             .send_modify(|settings| settings.behaviour = behaviour);
     }
 
     /// Starts a graceful departure: the worker polls until nothing runs and control has
     /// acknowledged all ended runs.
     pub fn leave(&self) {
-        self.settings
+        self.settings_tx
             .send_modify(|settings| settings.leaving = true);
     }
 
@@ -123,7 +123,7 @@
         log,
     };
     WorkerHandle {
-        settings: settings_tx,
+        settings_tx,
         task: tokio::spawn(worker.run()),
         ledger,
         spec,
