--- a/src/stand_in/minion.rs
+++ b/src/stand_in/minion.rs
@@ -247,16 +247,13 @@
         let key = request_key(&head.headers, &head.uri);
         let epoch = parse_header(&head.headers, "yuccahold-epoch");
         if !self.state.accepts_epoch(epoch) {
-            let mut reply = plain(
-                StatusCode::CONFLICT,
-                "the request comes from a previous owner",
-            );
+            let mut reply = plain(StatusCode::CONFLICT, "an older owner's request");
             let not_run = http::HeaderValue::from_static("not-run");
             reply.headers_mut().insert("yuccahold-outcome", not_run);
             return reply;
         }
         if body.collect().await.is_err() {
-            return plain(StatusCode::BAD_REQUEST, "the request body ended early");
+            return plain(StatusCode::BAD_REQUEST, "the body was cut");
         }
         let plan = self.state.begin_request(&key, epoch);
         let RequestPlan {
