--- a/src/platform/operator.rs
+++ b/src/platform/operator.rs
@@ -56,7 +56,7 @@
                     Ok(order) => {
                         let version = order.version;
                         let reply = self.call(Call::PutConfig(order), deadline).await;
-                        info!(self.log, "configuration request answered"; "version" => version,
+                        info!(self.log, "configuration answered"; "version" => version,
                             "status" => reply.status().as_u16());
                         reply
                     }
